--- a/packages/gateway/include/gentianroute/gateway/translator.h
+++ b/packages/gateway/include/gentianroute/gateway/translator.h
@@ -51,7 +51,7 @@
 
 /// @brief What a call of stage pieces came back with.
 struct StageAnswer {
-  routing::CallEnd end = routing::CallEnd::kBroken;
+  routing::CallStatus end = routing::CallStatus::kBroken;
   std::vector<routing::PieceResult> results;
 };
 
--- a/packages/gateway/src/cluster_messages.cc
+++ b/packages/gateway/src/cluster_messages.cc
@@ -28,8 +28,8 @@
     inputs.set(i, group.inputs[i]);
   }
   out.setKey(group.key);
-  out.setWork(group.work);
-  out.setWantedMs(MillisecondsUntil(now, group.wanted));
+  out.setWork(group.work_class);
+  out.setWantedMs(MillisecondsUntil(now, group.soft_deadline));
   out.setDeadlineMs(MillisecondsUntil(now, group.deadline));
   out.setPriority(group.priority);
   out.setWeight(static_cast<float>(group.weight));
@@ -45,8 +45,8 @@
     group.inputs.emplace_back(input);
   }
   group.key = in.getKey();
-  group.work = in.getWork();
-  group.wanted = now + std::chrono::milliseconds(in.getWantedMs());
+  group.work_class = in.getWork();
+  group.soft_deadline = now + std::chrono::milliseconds(in.getWantedMs());
   group.deadline = now + std::chrono::milliseconds(in.getDeadlineMs());
   group.priority = in.getPriority();
   group.weight = in.getWeight();
--- a/packages/gateway/src/request_flow.cc
+++ b/packages/gateway/src/request_flow.cc
@@ -198,7 +198,7 @@
 TimePoint RequestFlow::StagesBy() const {
   // The caller of a stream that goes on elsewhere waits from its last event.
   const TimePoint since = std::max(began_, last_part_at_);
-  const TimePoint first = since + route_->FirstPartWithin() - kUsualAnswer;
+  const TimePoint first = since + route_->FirstByteTimeout() - kUsualAnswer;
   return std::min(limit_ - LeastAnswer(), first);
 }
 
--- a/packages/gateway/src/request_flow_stages.cc
+++ b/packages/gateway/src/request_flow_stages.cc
@@ -40,10 +40,10 @@
   group.inputs = plan_->InputsOf(stage);
   group.key = request_.stage_key;
   group.result_bytes = static_cast<double>(spec.result_bytes);
-  group.work = route_->name + ":" + std::to_string(stage);
+  group.work_class = route_->name + ":" + std::to_string(stage);
   // What comes after this stage has to fit behind it.
-  group.wanted = began_ + route_->target - UsualFirstPart() -
-                 services_.stages.UsualAfter(*plan_, stage);
+  group.soft_deadline = began_ + route_->target - UsualFirstPart() -
+                        services_.stages.UsualAfter(*plan_, stage);
   group.deadline = StagesBy() - services_.stages.LeastAfter(*plan_, stage);
   group.priority = organisation_ != nullptr && organisation_->priority
                        ? *organisation_->priority
--- a/packages/gateway/src/stage_desk.cc
+++ b/packages/gateway/src/stage_desk.cc
@@ -129,8 +129,8 @@
   Settle(pool);
   loop_.Cancel(pool.timer);
   if (pool.pool.waiting_pieces() > 0) {
-    pool.timer =
-        loop_.After(pool.pool.LookAgainIn(), [this, &pool] { Work(pool); });
+    pool.timer = loop_.After(pool.pool.NextDispatchDelay(),
+                             [this, &pool] { Work(pool); });
   }
 }
 
@@ -156,7 +156,7 @@
   ++calls_sent_;
   pieces_sent_ += pieces.size();
   TellCall(pool, call, pieces);
-  fetches_.Start(std::move(out), call.give_up_after,
+  fetches_.Start(std::move(out), call.timeout,
                  [this, &pool, id = call.id](const RelayFetchEnd& end) {
                    OnCallEnd(pool, id, ReadEnd(pool, end));
                  });
@@ -196,7 +196,7 @@
         .Field("service", pool.service)
         .Field("sent", sent ? "yes" : "no");
   }
-  return {routing::CallEnd::kBroken, {}};
+  return {routing::CallStatus::kBroken, {}};
 }
 
 void StageDesk::OnCallEnd(Pool& pool,
@@ -218,7 +218,7 @@
 }
 
 void StageDesk::Settle(Pool& pool) {
-  for (routing::StageGroupEnd& end : pool.pool.TakeEnded()) {
+  for (routing::StageGroupResult& end : pool.pool.TakeFinished()) {
     const auto found = pool.waiting.find(end.group);
     if (found == pool.waiting.end()) {
       continue;
--- a/packages/gateway/src/stage_work.cc
+++ b/packages/gateway/src/stage_work.cc
@@ -58,7 +58,7 @@
     const TimePoint now = work_.loop_.Now();
     const routing::StageCapacity* capacity = work_.CapacityOf(service_);
     const auto pools = work_.PoolsOf(now, service_);
-    load_.time_left = group_.wanted - now;
+    load_.time_left = group_.soft_deadline - now;
     const routing::PoolState* pool =
         capacity == nullptr
             ? nullptr
@@ -72,9 +72,9 @@
     data_centre_ = pool->data_centre;
     const std::uint32_t calls =
         (group_.pieces + capacity->batch - 1) / capacity->batch;
-    work_.board_.OnHandedOver(
-        service_, data_centre_,
-        capacity->piece * group_.pieces + capacity->call * calls / 2);
+    work_.board_.OnHandedOver(service_, data_centre_,
+                              capacity->piece_time * group_.pieces +
+                                  capacity->call_overhead * calls / 2);
     HandOver();
   }
 
@@ -91,7 +91,7 @@
         .Field("scheduler", here ? "here" : scheduler_)
         .Field("pieces", group_.pieces)
         .Field("wanted_ms",
-               WholeMilliseconds(group_.wanted - work_.loop_.Now()))
+               WholeMilliseconds(group_.soft_deadline - work_.loop_.Now()))
         .Field("limit_ms",
                WholeMilliseconds(group_.deadline - work_.loop_.Now()));
     if (here) {
@@ -191,7 +191,7 @@
   const routing::StageCapacity* capacity = CapacityOf(service);
   routing::PoolWork load;
   load.pieces = group.pieces;
-  load.piece_time = capacity == nullptr ? Duration{0} : capacity->piece;
+  load.piece_time = capacity == nullptr ? Duration{0} : capacity->piece_time;
   load.inputs = std::move(inputs);
   load.result_bytes = group.result_bytes * group.pieces;
   load.read_in = read_in;
@@ -231,7 +231,7 @@
       continue;
     }
     const auto pools = PoolsOf(now, service);
-    const routing::PoolWork load{plan.pieces(stage), capacity->piece};
+    const routing::PoolWork load{plan.pieces(stage), capacity->piece_time};
     const routing::PoolState* pool =
         routing::ChoosePool(pools, load, *capacity, topology_);
     if (pool != nullptr) {
@@ -247,7 +247,8 @@
                                std::uint32_t stage) const {
   return plan.LongestAfter(stage, [this](const routing::StageSpec& spec) {
     const routing::StageCapacity* capacity = CapacityOf(spec.service);
-    return capacity == nullptr ? Duration{0} : capacity->call + capacity->piece;
+    return capacity == nullptr ? Duration{0}
+                               : capacity->call_overhead + capacity->piece_time;
   });
 }
 
@@ -255,7 +256,8 @@
                                std::uint32_t stage) const {
   return plan.LongestAfter(stage, [this](const routing::StageSpec& spec) {
     const routing::StageCapacity* capacity = CapacityOf(spec.service);
-    return capacity == nullptr ? Duration{0} : capacity->UsualCall() * 3 / 2;
+    return capacity == nullptr ? Duration{0}
+                               : capacity->TypicalCallTime() * 3 / 2;
   });
 }
 
--- a/packages/routing/include/gentianroute/routing/deployment.h
+++ b/packages/routing/include/gentianroute/routing/deployment.h
@@ -52,7 +52,7 @@
   /// Callers give a stream up after a silence of two seconds, of four times its
   /// target, or of eight times its longest pause, whichever is longest. Work
   /// that ends later is for nobody.
-  Duration FirstPartWithin() const {
+  Duration FirstByteTimeout() const {
     constexpr int kTargets = 4;
     constexpr int kPauses = 8;
     constexpr Duration kLeast = std::chrono::seconds(2);
@@ -80,13 +80,15 @@
 struct StageCapacity {
   std::uint32_t batch = 1;  ///< pieces in one call
   std::uint32_t slots = 1;  ///< calls at once
-  Duration call{};
-  Duration piece{};
-  double room_bytes = 0;  ///< for results
-  Duration result_life{};
+  Duration call_overhead{};
+  Duration piece_time{};
+  double result_storage_bytes = 0;  ///< for results
+  Duration result_lifetime{};
 
   /// @brief What a call takes under load: calls are nearly full then.
-  Duration UsualCall() const { return call + piece * batch * 3 / 4; }
+  Duration TypicalCallTime() const {
+    return call_overhead + piece_time * batch * 3 / 4;
+  }
 };
 
 struct ServiceSpec {
--- a/packages/routing/include/gentianroute/routing/stage_pool.h
+++ b/packages/routing/include/gentianroute/routing/stage_pool.h
@@ -28,10 +28,10 @@
   std::uint32_t pieces = 0;
   std::vector<std::string> inputs;  ///< results that each piece reads
   std::string key;                  ///< in place of inputs
-  std::string work;                 ///< pieces of equal work have the same text
-  TimePoint wanted{};               ///< done by then, the request is in time
+  std::string work_class;           ///< pieces of equal work have the same text
+  TimePoint soft_deadline{};        ///< done by then, the request is in time
   TimePoint deadline{};             ///< later than that it is of no use
-  std::uint32_t priority = 0;       ///< 0 is worth most
+  std::uint32_t priority = 0;       ///< 0 is worth max_pieces
   double weight = 1;                ///< among the requests of its route
   double result_bytes = 0;          ///< room that one result takes, about
 };
@@ -62,30 +62,30 @@
   ServerPtr server;
   std::vector<StagePiece> pieces;
   Duration expected{};
-  Duration give_up_after{};
+  Duration timeout{};
 };
 
 /// @brief What became of one piece of a call.
-enum class PieceEnd : std::uint8_t {
+enum class PieceStatus : std::uint8_t {
   kDone,
   kLate,
   kInputGone,
-  kNoRoom,
+  kNoStorage,
   kError
 };
 struct PieceResult {
-  PieceEnd end = PieceEnd::kError;
+  PieceStatus status = PieceStatus::kError;
   std::string result;
 };
 
 /// @brief How a call ended as a whole.
-enum class CallEnd : std::uint8_t {
+enum class CallStatus : std::uint8_t {
   kAnswered,
   kRefused,  ///< not run; the server is full or another one
   kBroken,   ///< no answer; its pieces may have been made, and are made again
 };
 
-struct StageGroupEnd {
+struct StageGroupResult {
   StageGroupId group;
   std::optional<StageFailure> failure;
   std::vector<std::string> results;
@@ -116,101 +116,101 @@
   /// @param results with kAnswered one for each piece, in the call's order
   void OnCallEnd(TimePoint now,
                  StageCallId call,
-                 CallEnd end,
+                 CallStatus end,
                  std::span<const PieceResult> results);
 
   /// @brief Nobody will read these results any more; their room is free.
   void OnReleased(std::span<const std::string> results);
 
   /// @brief Groups that have ended since the last call.
-  std::vector<StageGroupEnd> TakeEnded();
+  std::vector<StageGroupResult> TakeFinished();
   /// @brief Results that nobody will read: their group has ended before.
   std::vector<std::string> TakeOrphans();
 
   routing::Backlog BacklogAt(TimePoint now) const;
   /// @brief How soon Dispatch() has to be called, if nothing else happens.
-  Duration LookAgainIn() const;
+  Duration NextDispatchDelay() const;
   std::size_t waiting_pieces() const { return waiting_pieces_; }
 
  private:
   struct Group {
     StageGroup group;
-    TimePoint came{};
+    TimePoint submitted_at{};
     std::vector<std::uint32_t> waiting;  ///< segments, in descending order
     std::uint32_t running = 0;
     std::uint32_t done = 0;
-    std::uint32_t tries = 0;  ///< of failed pieces, together
+    std::uint32_t failed_attempts = 0;  ///< of failed pieces, together
     std::vector<std::string> results;
   };
   struct Running {
     StageCall call;
-    TimePoint began{};
+    TimePoint started_at{};
   };
-  struct Desk {  ///< what the pool knows of one server
+  struct ServerState {  ///< what the pool knows of one server
     std::uint32_t calls = 0;
     TimePoint hold_until{};
     TimePoint busy_until{};
     double used_bytes = 0;  ///< room of results that are made or being made
   };
-  struct Made {  ///< a result that takes up room
+  struct StoredResult {  ///< a result that takes up room
     std::string server;
     double bytes = 0;
-    TimePoint runs_out{};
+    TimePoint expires_at{};
   };
   std::vector<WaitingWork> ByUrgency(TimePoint now, std::size_t servers) const;
   /// Ends the groups that what goes before them leaves no time for: their
   /// callers learn it now and not at their deadline.
-  /// @return the others, the most urgent first
-  std::vector<StageGroupId> GiveUpLate(TimePoint now, std::size_t servers);
+  /// @return the others, the max_pieces urgent first
+  std::vector<StageGroupId> EndLateGroups(TimePoint now, std::size_t servers);
   Duration RunningTime(TimePoint now) const;
   std::vector<ServerPtr> FreeServers(TimePoint now,
                                      std::span<const ServerPtr> servers);
-  StageCall Fill(TimePoint now,
-                 const ServerPtr& server,
-                 std::size_t most,
-                 std::span<const StageGroupId> order);
-  bool HasRoom(const Desk& desk, double bytes) const;
-  bool IsLarge(const StageGroup& group) const;
+  StageCall FillCall(TimePoint now,
+                     const ServerPtr& server,
+                     std::size_t max_pieces,
+                     std::span<const StageGroupId> order);
+  bool HasStorage(const ServerState& state, double bytes) const;
+  bool HasLargeResults(const StageGroup& group) const;
   /// Whether a call may take a group's pieces. A group goes whole into one
   /// call: the results of a part of it would take up room, and help nobody,
   /// until the rest is made.
-  bool FitsWhole(const Desk& desk,
-                 const Group& entry,
-                 std::size_t places) const;
-  void TakePieces(StageGroupId id,
-                  Group& entry,
-                  Desk& desk,
-                  std::size_t most,
-                  StageCall& call);
-  void FreeRoom(std::string_view server, double bytes);
-  void ForgetOldResults(TimePoint now);
-  bool CanBeInTime(TimePoint now, const StageGroup& group) const;
+  bool CanAddToCall(const ServerState& state,
+                    const Group& entry,
+                    std::size_t free_pieces) const;
+  void AddPieces(StageGroupId id,
+                 Group& entry,
+                 ServerState& state,
+                 std::size_t max_pieces,
+                 StageCall& call);
+  void FreeStorage(std::string_view server, double bytes);
+  void ExpireResults(TimePoint now);
+  bool CanFinishInTime(TimePoint now, const StageGroup& group) const;
   Duration PieceTime(const StageGroup& group) const;
   /// Server time of the pieces of a group that wait, in full calls.
   Duration WaitingTime(const Group& entry) const;
-  Duration TimeOf(std::span<const StagePiece> pieces) const;
-  void Learn(const Running& running, Duration taken);
-  void ApplyPiece(const StagePiece& piece, const PieceResult& result);
-  void NoteMade(TimePoint now,
-                const Server& server,
-                const StagePiece& piece,
-                const PieceResult& result);
-  void ReturnPiece(const StagePiece& piece);
+  Duration ExpectedCallTime(std::span<const StagePiece> pieces) const;
+  void UpdatePieceTimes(const Running& running, Duration taken);
+  void ApplyPieceResult(const StagePiece& piece, const PieceResult& result);
+  void RecordResult(TimePoint now,
+                    const Server& server,
+                    const StagePiece& piece,
+                    const PieceResult& result);
+  void RequeuePiece(const StagePiece& piece);
   /// Nobody will read these results.
-  void Orphan(std::vector<std::string>& results);
-  void End(StageGroupId group, std::optional<StageFailure> failure);
+  void AddOrphans(std::vector<std::string>& results);
+  void FinishGroup(StageGroupId group, std::optional<StageFailure> failure);
 
   StageCapacity capacity_;
   std::map<StageGroupId, Group> groups_;
   std::map<StageCallId, Running> running_;
-  std::map<std::string, Desk, std::less<>> desks_;
-  std::unordered_map<std::string, Made> made_;
+  std::map<std::string, ServerState, std::less<>> server_states_;
+  std::unordered_map<std::string, StoredResult> stored_results_;
   /// Time of a piece of each sort of work, learnt from calls.
-  std::map<std::string, Duration, std::less<>> piece_time_;
-  std::vector<StageGroupEnd> ended_;
+  std::map<std::string, Duration, std::less<>> piece_times_;
+  std::vector<StageGroupResult> finished_;
   std::vector<std::string> orphans_;
   std::size_t waiting_pieces_ = 0;
-  TimePoint forget_at_{};
+  TimePoint next_expiry_at_{};
   std::uint64_t last_group_ = 0;
   std::uint64_t last_call_ = 0;
 };
--- a/packages/routing/src/pool_choice.cc
+++ b/packages/routing/src/pool_choice.cc
@@ -34,7 +34,7 @@
   const Duration wait =
       pool.backlog.in_time / std::max<std::int64_t>(1, pool.servers);
   const std::uint32_t in_call = std::min(work.pieces, capacity.batch);
-  return wait + capacity.call + work.piece_time * in_call;
+  return wait + capacity.call_overhead + work.piece_time * in_call;
 }
 
 const PoolState* ChoosePool(std::span<const PoolState> pools,
--- a/packages/routing/src/stage_pool.cc
+++ b/packages/routing/src/stage_pool.cc
@@ -11,34 +11,34 @@
 /// give an order only; a factor keeps the urgent first where all else is alike,
 /// and lets a small piece of work go before a large one that is hardly more
 /// urgent.
-constexpr double kWorthOfPriority = 3.0;
+constexpr double kPriorityValueRatio = 3.0;
 /// A server this much slower than expected is left out while another is open;
 /// its history fades in seconds, after which it is tried again.
-constexpr double kTooSlow = 2.5;
+constexpr double kSlownessLimit = 2.5;
 /// A call is given up after this many times its expected time and a margin. A
 /// slowed server takes five times as long, and its answer is still worth
 /// having; one that is dark never answers.
-constexpr int kGiveUpFactor = 4;
-constexpr Duration kGiveUpMargin = std::chrono::milliseconds(300);
+constexpr int kCallTimeoutFactor = 4;
+constexpr Duration kCallTimeoutMargin = std::chrono::milliseconds(300);
 /// A server without room, or that refused, is not asked again for this long:
 /// the time in which one more call's results are read and freed.
-constexpr Duration kHold = std::chrono::milliseconds(100);
+constexpr Duration kServerHoldTime = std::chrono::milliseconds(100);
 /// How often held servers are looked at while pieces wait for them.
-constexpr Duration kLookAgain = std::chrono::milliseconds(25);
+constexpr Duration kDispatchInterval = std::chrono::milliseconds(25);
 /// A result above this share of a server's room is worth keeping room for; all
 /// others find some in any case.
-constexpr double kLargeShare = 0.02;
+constexpr double kLargeResultShare = 0.02;
 /// How often results that have run out are looked for.
-constexpr Duration kForgetPeriod = std::chrono::milliseconds(200);
+constexpr Duration kExpiryPeriod = std::chrono::milliseconds(200);
 /// Failed pieces that a group survives.
-constexpr std::uint32_t kMostTries = 6;
+constexpr std::uint32_t kMaxFailedAttempts = 6;
 /// Weight of the newest call in the learnt time of a piece.
-constexpr double kLearnRate = 0.2;
+constexpr double kLearningRate = 0.2;
 /// Calls outside these bounds tell of the server and not of the work.
-constexpr double kLeastUsualRatio = 0.4;
-constexpr double kMostUsualRatio = 1.5;
+constexpr double kMinLearnedRatio = 0.4;
+constexpr double kMaxLearnedRatio = 1.5;
 
-std::size_t OpenServers(std::span<const ServerPtr> servers) {
+std::size_t CountOpenServers(std::span<const ServerPtr> servers) {
   return static_cast<std::size_t>(
       std::count_if(servers.begin(), servers.end(),
                     [](const ServerPtr& server) { return server->open(); }));
@@ -50,7 +50,7 @@
   const StageGroupId id{++last_group_};
   Group& entry = groups_[id];
   entry.group = std::move(group);
-  entry.came = now;
+  entry.submitted_at = now;
   entry.results.resize(entry.group.pieces);
   for (std::uint32_t i = entry.group.pieces; i > 0; --i) {
     entry.waiting.push_back(i - 1);
@@ -65,11 +65,11 @@
     return;
   }
   waiting_pieces_ -= found->second.waiting.size();
-  Orphan(found->second.results);
+  AddOrphans(found->second.results);
   groups_.erase(found);
 }
 
-void StagePool::Orphan(std::vector<std::string>& results) {
+void StagePool::AddOrphans(std::vector<std::string>& results) {
   for (std::string& result : results) {
     if (!result.empty()) {
       orphans_.push_back(std::move(result));
@@ -92,9 +92,9 @@
     const StageGroup& group = entry.group;
     const double value =
         group.weight *
-        std::pow(kWorthOfPriority, -static_cast<double>(group.priority));
-    waiting.push_back({id.value, entry.came, group.wanted, WaitingTime(entry),
-                       capacity_.UsualCall(), value});
+        std::pow(kPriorityValueRatio, -static_cast<double>(group.priority));
+    waiting.push_back({id.value, entry.submitted_at, group.soft_deadline,
+                       WaitingTime(entry), capacity_.TypicalCallTime(), value});
   }
   return OrderWork(now, std::move(waiting), RunningTime(now), servers);
 }
@@ -102,20 +102,20 @@
 Duration StagePool::WaitingTime(const Group& entry) const {
   const auto waiting = static_cast<std::int64_t>(entry.waiting.size());
   return PieceTime(entry.group) * waiting +
-         capacity_.call * waiting / capacity_.batch;
+         capacity_.call_overhead * waiting / capacity_.batch;
 }
 
-std::vector<StageGroupId> StagePool::GiveUpLate(TimePoint now,
-                                                std::size_t servers) {
+std::vector<StageGroupId> StagePool::EndLateGroups(TimePoint now,
+                                                   std::size_t servers) {
   std::vector<StageGroupId> kept;
   Duration ahead = RunningTime(now);
   for (const WaitingWork& next : ByUrgency(now, servers)) {
     const StageGroupId id{next.id};
     const Group& entry = groups_.at(id);
     const TimePoint end = now + ahead / static_cast<std::int64_t>(servers) +
-                          capacity_.call + PieceTime(entry.group);
+                          capacity_.call_overhead + PieceTime(entry.group);
     if (end > entry.group.deadline) {
-      End(id, StageFailure::kLate);
+      FinishGroup(id, StageFailure::kLate);
     } else {
       ahead += next.server_time;
       kept.push_back(id);
@@ -126,9 +126,9 @@
 
 Duration StagePool::RunningTime(TimePoint now) const {
   Duration running{0};
-  for (const auto& [id, desk] : desks_) {
-    if (desk.calls > 0 && desk.busy_until > now) {
-      running += desk.busy_until - now;
+  for (const auto& [id, state] : server_states_) {
+    if (state.calls > 0 && state.busy_until > now) {
+      running += state.busy_until - now;
     }
   }
   return running;
@@ -137,39 +137,39 @@
 std::vector<ServerPtr> StagePool::FreeServers(
     TimePoint now,
     std::span<const ServerPtr> servers) {
-  std::vector<ServerPtr> sound;
+  std::vector<ServerPtr> healthy;
   std::vector<ServerPtr> slow;
-  bool has_sound = false;
+  bool has_healthy = false;
   for (const ServerPtr& server : servers) {
     if (!server->open() || server->history().IsAvoided(now)) {
       continue;
     }
-    const bool is_slow = server->history().Slowness(now) > kTooSlow;
-    has_sound |= !is_slow;
-    const Desk& desk = desks_[server->record().id];
-    if (desk.calls >= capacity_.slots || now < desk.hold_until) {
+    const bool is_slow = server->history().Slowness(now) > kSlownessLimit;
+    has_healthy |= !is_slow;
+    const ServerState& state = server_states_[server->record().id];
+    if (state.calls >= capacity_.slots || now < state.hold_until) {
       continue;
     }
-    (is_slow ? slow : sound).push_back(server);
+    (is_slow ? slow : healthy).push_back(server);
   }
-  return has_sound ? sound : slow;
+  return has_healthy ? healthy : slow;
 }
 
 std::vector<StageCall> StagePool::Dispatch(TimePoint now,
                                            std::span<const ServerPtr> servers) {
   std::vector<StageCall> calls;
-  ForgetOldResults(now);
+  ExpireResults(now);
   if (waiting_pieces_ == 0) {
     return calls;
   }
-  const std::size_t open = OpenServers(servers);
+  const std::size_t open = CountOpenServers(servers);
   if (open == 0) {
     while (!groups_.empty()) {
-      End(groups_.begin()->first, StageFailure::kNoServer);
+      FinishGroup(groups_.begin()->first, StageFailure::kNoServer);
     }
     return calls;
   }
-  const std::vector<StageGroupId> order = GiveUpLate(now, open);
+  const std::vector<StageGroupId> order = EndLateGroups(now, open);
   const std::vector<ServerPtr> free = FreeServers(now, servers);
   for (std::size_t i = 0; i < free.size() && waiting_pieces_ > 0; ++i) {
     // Free servers share what waits, but no call is split below half of its
@@ -177,9 +177,9 @@
     const std::size_t free_left = free.size() - i;
     const std::size_t share = (waiting_pieces_ + free_left - 1) / free_left;
     const std::size_t half = (capacity_.batch + 1) / 2;
-    const std::size_t most =
+    const std::size_t max_pieces =
         std::min<std::size_t>(capacity_.batch, std::max(share, half));
-    StageCall call = Fill(now, free[i], most, order);
+    StageCall call = FillCall(now, free[i], max_pieces, order);
     if (!call.pieces.empty()) {
       calls.push_back(std::move(call));
     }
@@ -187,155 +187,157 @@
   return calls;
 }
 
-StageCall StagePool::Fill(TimePoint now,
-                          const ServerPtr& server,
-                          std::size_t most,
-                          std::span<const StageGroupId> order) {
+StageCall StagePool::FillCall(TimePoint now,
+                              const ServerPtr& server,
+                              std::size_t max_pieces,
+                              std::span<const StageGroupId> order) {
   StageCall call;
   call.server = server;
-  Desk& desk = desks_[server->record().id];
-  bool keeps_room = false;
+  ServerState& state = server_states_[server->record().id];
+  bool reserves_storage = false;
   for (const StageGroupId id : order) {
     Group& entry = groups_.at(id);
-    const bool large = IsLarge(entry.group);
-    if (entry.waiting.empty() || (keeps_room && large)) {
+    const bool large = HasLargeResults(entry.group);
+    if (entry.waiting.empty() || (reserves_storage && large)) {
       continue;
     }
-    if (!FitsWhole(desk, entry, most - call.pieces.size())) {
+    if (!CanAddToCall(state, entry, max_pieces - call.pieces.size())) {
       // The room that it lacks is not given to those behind it.
-      keeps_room = keeps_room || large;
+      reserves_storage = reserves_storage || large;
       continue;
     }
-    TakePieces(id, entry, desk, most, call);
+    AddPieces(id, entry, state, max_pieces, call);
   }
   if (call.pieces.empty()) {
     return call;
   }
   call.id = StageCallId{++last_call_};
-  const Duration usual = TimeOf(call.pieces);
+  const Duration expected = ExpectedCallTime(call.pieces);
   call.expected = std::chrono::duration_cast<Duration>(
-      usual * std::max(1.0, server->history().Slowness(now)));
-  call.give_up_after = usual * kGiveUpFactor + kGiveUpMargin;
-  ++desk.calls;
-  desk.busy_until = now + call.expected;
+      expected * std::max(1.0, server->history().Slowness(now)));
+  call.timeout = expected * kCallTimeoutFactor + kCallTimeoutMargin;
+  ++state.calls;
+  state.busy_until = now + call.expected;
   running_[call.id] = {call, now};
   return call;
 }
 
-bool StagePool::IsLarge(const StageGroup& group) const {
-  return capacity_.room_bytes > 0 &&
-         group.result_bytes > capacity_.room_bytes * kLargeShare;
+bool StagePool::HasLargeResults(const StageGroup& group) const {
+  return capacity_.result_storage_bytes > 0 &&
+         group.result_bytes >
+             capacity_.result_storage_bytes * kLargeResultShare;
 }
 
-bool StagePool::FitsWhole(const Desk& desk,
-                          const Group& entry,
-                          std::size_t places) const {
+bool StagePool::CanAddToCall(const ServerState& state,
+                             const Group& entry,
+                             std::size_t free_pieces) const {
   const std::size_t pieces = entry.waiting.size();
   const double bytes = entry.group.result_bytes * static_cast<double>(pieces);
-  const bool is_begun = pieces < entry.group.pieces;
+  const bool is_started = pieces < entry.group.pieces;
   const bool fits_nowhere =
-      pieces > capacity_.batch ||
-      (capacity_.room_bytes > 0 && bytes > capacity_.room_bytes);
-  if (is_begun || fits_nowhere) {
-    return places > 0 && HasRoom(desk, entry.group.result_bytes);
+      pieces > capacity_.batch || (capacity_.result_storage_bytes > 0 &&
+                                   bytes > capacity_.result_storage_bytes);
+  if (is_started || fits_nowhere) {
+    return free_pieces > 0 && HasStorage(state, entry.group.result_bytes);
   }
-  return pieces <= places && HasRoom(desk, bytes);
+  return pieces <= free_pieces && HasStorage(state, bytes);
 }
 
-void StagePool::TakePieces(StageGroupId id,
-                           Group& entry,
-                           Desk& desk,
-                           std::size_t most,
-                           StageCall& call) {
+void StagePool::AddPieces(StageGroupId id,
+                          Group& entry,
+                          ServerState& state,
+                          std::size_t max_pieces,
+                          StageCall& call) {
   const double bytes = entry.group.result_bytes;
-  while (!entry.waiting.empty() && call.pieces.size() < most &&
-         HasRoom(desk, bytes)) {
+  while (!entry.waiting.empty() && call.pieces.size() < max_pieces &&
+         HasStorage(state, bytes)) {
     call.pieces.push_back({id, entry.waiting.back(), bytes});
-    desk.used_bytes += bytes;
+    state.used_bytes += bytes;
     entry.waiting.pop_back();
     ++entry.running;
     --waiting_pieces_;
   }
 }
 
-bool StagePool::HasRoom(const Desk& desk, double bytes) const {
+bool StagePool::HasStorage(const ServerState& state, double bytes) const {
   // A server without any result takes one of any size.
-  return capacity_.room_bytes <= 0 || desk.used_bytes <= 0 ||
-         desk.used_bytes + bytes <= capacity_.room_bytes;
+  return capacity_.result_storage_bytes <= 0 || state.used_bytes <= 0 ||
+         state.used_bytes + bytes <= capacity_.result_storage_bytes;
 }
 
-void StagePool::FreeRoom(std::string_view server, double bytes) {
-  const auto found = desks_.find(server);
-  if (found != desks_.end()) {
+void StagePool::FreeStorage(std::string_view server, double bytes) {
+  const auto found = server_states_.find(server);
+  if (found != server_states_.end()) {
     found->second.used_bytes = std::max(0.0, found->second.used_bytes - bytes);
   }
 }
 
-void StagePool::NoteMade(TimePoint now,
-                         const Server& server,
-                         const StagePiece& piece,
-                         const PieceResult& result) {
+void StagePool::RecordResult(TimePoint now,
+                             const Server& server,
+                             const StagePiece& piece,
+                             const PieceResult& result) {
   if (result.result.empty()) {
-    FreeRoom(server.record().id, piece.result_bytes);
+    FreeStorage(server.record().id, piece.result_bytes);
     return;
   }
-  made_[result.result] = {server.record().id, piece.result_bytes,
-                          now + capacity_.result_life};
+  stored_results_[result.result] = {server.record().id, piece.result_bytes,
+                                    now + capacity_.result_lifetime};
 }
 
 void StagePool::OnReleased(std::span<const std::string> results) {
   for (const std::string& result : results) {
-    const auto found = made_.find(result);
-    if (found != made_.end()) {
-      FreeRoom(found->second.server, found->second.bytes);
-      made_.erase(found);
+    const auto found = stored_results_.find(result);
+    if (found != stored_results_.end()) {
+      FreeStorage(found->second.server, found->second.bytes);
+      stored_results_.erase(found);
     }
   }
 }
 
-void StagePool::ForgetOldResults(TimePoint now) {
-  if (now < forget_at_) {
+void StagePool::ExpireResults(TimePoint now) {
+  if (now < next_expiry_at_) {
     return;
   }
-  forget_at_ = now + kForgetPeriod;
+  next_expiry_at_ = now + kExpiryPeriod;
   std::vector<std::string> old;
-  for (const auto& [result, made] : made_) {
-    if (made.runs_out <= now) {
+  for (const auto& [result, made] : stored_results_) {
+    if (made.expires_at <= now) {
       old.push_back(result);
     }
   }
   OnReleased(old);
 }
 
-bool StagePool::CanBeInTime(TimePoint now, const StageGroup& group) const {
-  return now + capacity_.UsualCall() <= group.wanted;
+bool StagePool::CanFinishInTime(TimePoint now, const StageGroup& group) const {
+  return now + capacity_.TypicalCallTime() <= group.soft_deadline;
 }
 
 Duration StagePool::PieceTime(const StageGroup& group) const {
-  const auto found = piece_time_.find(group.work);
-  return found == piece_time_.end() ? capacity_.piece : found->second;
+  const auto found = piece_times_.find(group.work_class);
+  return found == piece_times_.end() ? capacity_.piece_time : found->second;
 }
 
-Duration StagePool::TimeOf(std::span<const StagePiece> pieces) const {
-  Duration time = capacity_.call;
+Duration StagePool::ExpectedCallTime(std::span<const StagePiece> pieces) const {
+  Duration time = capacity_.call_overhead;
   for (const StagePiece& piece : pieces) {
     const auto found = groups_.find(piece.group);
-    time += found == groups_.end() ? capacity_.piece
+    time += found == groups_.end() ? capacity_.piece_time
                                    : PieceTime(found->second.group);
   }
   return time;
 }
 
-void StagePool::Learn(const Running& running, Duration taken) {
-  const Duration usual = TimeOf(running.call.pieces);
-  const Duration of_pieces = usual - capacity_.call;
-  const double whole = Seconds(taken) / Seconds(usual);
-  if (of_pieces.count() <= 0 || whole < kLeastUsualRatio ||
-      whole > kMostUsualRatio) {
+void StagePool::UpdatePieceTimes(const Running& running, Duration taken) {
+  const Duration expected = ExpectedCallTime(running.call.pieces);
+  const Duration pieces_time = expected - capacity_.call_overhead;
+  const double whole = Seconds(taken) / Seconds(expected);
+  if (pieces_time.count() <= 0 || whole < kMinLearnedRatio ||
+      whole > kMaxLearnedRatio) {
     return;
   }
   const double ratio = std::clamp(
-      Seconds(taken - capacity_.call) / Seconds(of_pieces), 0.2, 2.0);
+      Seconds(taken - capacity_.call_overhead) / Seconds(pieces_time), 0.2,
+      2.0);
   for (const StagePiece& piece : running.call.pieces) {
     const auto found = groups_.find(piece.group);
     if (found == groups_.end()) {
@@ -343,9 +345,9 @@
     }
     // Each piece of a call moves its work by its part of the call's lesson.
     const double rate =
-        kLearnRate / static_cast<double>(running.call.pieces.size());
+        kLearningRate / static_cast<double>(running.call.pieces.size());
     const Duration before = PieceTime(found->second.group);
-    piece_time_[found->second.group.work] =
+    piece_times_[found->second.group.work_class] =
         std::chrono::duration_cast<Duration>(before *
                                              (1.0 + rate * (ratio - 1.0)));
   }
@@ -353,7 +355,7 @@
 
 void StagePool::OnCallEnd(TimePoint now,
                           StageCallId call,
-                          CallEnd end,
+                          CallStatus end,
                           std::span<const PieceResult> results) {
   const auto found = running_.find(call);
   if (found == running_.end()) {
@@ -362,39 +364,42 @@
   const Running running = std::move(found->second);
   running_.erase(found);
   Server& server = *running.call.server;
-  Desk& desk = desks_[server.record().id];
-  desk.calls -= desk.calls > 0 ? 1 : 0;
-  desk.busy_until = now;
-  if (end == CallEnd::kRefused) {
-    desk.hold_until = now + kHold;
+  ServerState& state = server_states_[server.record().id];
+  state.calls -= state.calls > 0 ? 1 : 0;
+  state.busy_until = now;
+  if (end == CallStatus::kRefused) {
+    state.hold_until = now + kServerHoldTime;
   }
-  if (end == CallEnd::kBroken) {
+  if (end == CallStatus::kBroken) {
     server.history().OnBreak(now);
   }
-  if (end == CallEnd::kAnswered) {
-    const Duration taken = now - running.began;
+  if (end == CallStatus::kAnswered) {
+    const Duration taken = now - running.started_at;
     server.history().OnAnswer(
-        now, true, Seconds(taken) / Seconds(TimeOf(running.call.pieces)));
-    Learn(running, taken);
+        now, true,
+        Seconds(taken) / Seconds(ExpectedCallTime(running.call.pieces)));
+    UpdatePieceTimes(running, taken);
   }
   for (std::size_t i = 0; i < running.call.pieces.size(); ++i) {
     const StagePiece& piece = running.call.pieces[i];
-    const bool answered = end == CallEnd::kAnswered && i < results.size();
-    NoteMade(now, server, piece, answered ? results[i] : PieceResult{});
+    const bool answered = end == CallStatus::kAnswered && i < results.size();
+    RecordResult(now, server, piece, answered ? results[i] : PieceResult{});
     if (answered) {
-      if (results[i].end == PieceEnd::kNoRoom) {
-        desk.hold_until = now + kHold;
+      if (results[i].status == PieceStatus::kNoStorage) {
+        state.hold_until = now + kServerHoldTime;
       }
-      ApplyPiece(piece, results[i]);
+      ApplyPieceResult(piece, results[i]);
     } else {
-      const bool costs_a_try = end != CallEnd::kRefused;
-      ApplyPiece(piece,
-                 {costs_a_try ? PieceEnd::kError : PieceEnd::kNoRoom, {}});
+      const bool counts_as_failure = end != CallStatus::kRefused;
+      ApplyPieceResult(piece, {counts_as_failure ? PieceStatus::kError
+                                                 : PieceStatus::kNoStorage,
+                               {}});
     }
   }
 }
 
-void StagePool::ApplyPiece(const StagePiece& piece, const PieceResult& result) {
+void StagePool::ApplyPieceResult(const StagePiece& piece,
+                                 const PieceResult& result) {
   const auto found = groups_.find(piece.group);
   if (found == groups_.end()) {
     if (!result.result.empty()) {
@@ -404,56 +409,57 @@
   }
   Group& entry = found->second;
   --entry.running;
-  switch (result.end) {
-    case PieceEnd::kDone:
+  switch (result.status) {
+    case PieceStatus::kDone:
       entry.results[piece.segment] = result.result;
       ++entry.done;
       if (entry.done == entry.group.pieces) {
-        End(piece.group, std::nullopt);
+        FinishGroup(piece.group, std::nullopt);
       }
       return;
-    case PieceEnd::kLate:
-      End(piece.group, StageFailure::kLate);
+    case PieceStatus::kLate:
+      FinishGroup(piece.group, StageFailure::kLate);
       return;
-    case PieceEnd::kInputGone:
-      End(piece.group, StageFailure::kInputGone);
+    case PieceStatus::kInputGone:
+      FinishGroup(piece.group, StageFailure::kInputGone);
       return;
-    case PieceEnd::kNoRoom:
-      ReturnPiece(piece);
+    case PieceStatus::kNoStorage:
+      RequeuePiece(piece);
       return;
-    case PieceEnd::kError:
-      ++entry.tries;
-      ReturnPiece(piece);
-      if (entry.tries > kMostTries + entry.group.pieces) {
-        End(piece.group, StageFailure::kFailed);
+    case PieceStatus::kError:
+      ++entry.failed_attempts;
+      RequeuePiece(piece);
+      if (entry.failed_attempts > kMaxFailedAttempts + entry.group.pieces) {
+        FinishGroup(piece.group, StageFailure::kFailed);
       }
       return;
   }
 }
 
-void StagePool::ReturnPiece(const StagePiece& piece) {
+void StagePool::RequeuePiece(const StagePiece& piece) {
   Group& entry = groups_.at(piece.group);
   entry.waiting.push_back(piece.segment);
   std::sort(entry.waiting.rbegin(), entry.waiting.rend());
   ++waiting_pieces_;
 }
 
-void StagePool::End(StageGroupId group, std::optional<StageFailure> failure) {
+void StagePool::FinishGroup(StageGroupId group,
+                            std::optional<StageFailure> failure) {
   const auto found = groups_.find(group);
   Group& entry = found->second;
   waiting_pieces_ -= entry.waiting.size();
-  StageGroupEnd end{group, failure, {}};
+  StageGroupResult end{group, failure, {}};
   if (failure) {
-    Orphan(entry.results);
+    AddOrphans(entry.results);
   } else {
     end.results = std::move(entry.results);
   }
   groups_.erase(found);
-  ended_.push_back(std::move(end));
+  finished_.push_back(std::move(end));
 }
 
-std::vector<StageGroupEnd> StagePool::TakeEnded() {
-  return std::exchange(ended_, {});
+std::vector<StageGroupResult> StagePool::TakeFinished() {
+  return std::exchange(finished_, {});
 }
 
 std::vector<std::string> StagePool::TakeOrphans() {
@@ -466,20 +472,21 @@
   std::size_t in_time = 0;
   for (const auto& [id, entry] : groups_) {
     const Duration time = PieceTime(entry.group) * entry.waiting.size();
-    const bool can = CanBeInTime(now, entry.group);
+    const bool can = CanFinishInTime(now, entry.group);
     (can ? pieces_in_time : pieces_late) += time;
     in_time += can ? entry.waiting.size() : 0;
   }
   const auto calls_for = [this](std::size_t pieces) {
-    return capacity_.call * ((pieces + capacity_.batch - 1) / capacity_.batch);
+    return capacity_.call_overhead *
+           ((pieces + capacity_.batch - 1) / capacity_.batch);
   };
   const Duration running = RunningTime(now);
   return {running + pieces_in_time + calls_for(in_time),
           running + pieces_in_time + pieces_late + calls_for(waiting_pieces_)};
 }
 
-Duration StagePool::LookAgainIn() const {
-  return waiting_pieces_ == 0 ? Duration::max() : kLookAgain;
+Duration StagePool::NextDispatchDelay() const {
+  return waiting_pieces_ == 0 ? Duration::max() : kDispatchInterval;
 }
 
 }  // namespace gentianroute::routing
--- a/packages/routing/tests/answer_watch_test.cc
+++ b/packages/routing/tests/answer_watch_test.cc
@@ -48,7 +48,7 @@
   const ServicePace pace = PaceOf(80, 93);
   const Route route = StreamRoute();
   const Duration wait = FirstPartOverdueAfter(route, pace.FirstEvent(17'000));
-  cr_assert_lt(wait, route.FirstPartWithin() / 2);
+  cr_assert_lt(wait, route.FirstByteTimeout() / 2);
   const ServerPtr server = MakeServer("dark");
   NoteOverdue(kStart + wait, kStart, *server);
   cr_assert(server->history().IsAvoided(kStart + wait));
@@ -81,5 +81,5 @@
   cr_assert_eq(StreamSilenceLimit(route), 1000 * kMs);
   route.pause_target = 400 * kMs;
   cr_assert_eq(StreamSilenceLimit(route), 1600 * kMs);
-  cr_assert_lt(StreamSilenceLimit(route), route.FirstPartWithin());
+  cr_assert_lt(StreamSilenceLimit(route), route.FirstByteTimeout());
 }
--- a/packages/routing/tests/routing_fixture.h
+++ b/packages/routing/tests/routing_fixture.h
@@ -27,7 +27,7 @@
   return ServerPtr(new Server(record));
 }
 
-inline Topology TwoRegions() {
+inline Topology TestTopology() {
   return Topology("north", {{"north", "N"}, {"north-b", "N"}, {"south", "S"}});
 }
 
@@ -43,24 +43,24 @@
   static StageCapacity CapacityOf(std::uint32_t batch, double room_bytes) {
     StageCapacity capacity;
     capacity.batch = batch;
-    capacity.call = 150 * kMs;
-    capacity.piece = 13 * kMs;
-    capacity.room_bytes = room_bytes;
-    capacity.result_life = std::chrono::seconds(4);
+    capacity.call_overhead = 150 * kMs;
+    capacity.piece_time = 13 * kMs;
+    capacity.result_storage_bytes = room_bytes;
+    capacity.result_lifetime = std::chrono::seconds(4);
     return capacity;
   }
 
   StageGroupId Submit(const std::string& request,
                       std::uint32_t pieces,
-                      Duration wanted_in = std::chrono::seconds(2),
+                      Duration due_in = std::chrono::seconds(2),
                       std::uint32_t priority = 0,
                       double result_bytes = 0,
                       TimePoint now = kStart) {
     StageGroup group;
     group.request = request;
     group.pieces = pieces;
-    group.work = "route:0";
-    group.wanted = now + wanted_in;
+    group.work_class = "route:0";
+    group.soft_deadline = now + due_in;
     group.deadline = now + std::chrono::seconds(6);
     group.priority = priority;
     group.result_bytes = result_bytes;
@@ -71,11 +71,11 @@
   void Answer(const StageCall& call, TimePoint now) {
     std::vector<PieceResult> results;
     for (const StagePiece& piece : call.pieces) {
-      results.push_back({PieceEnd::kDone, std::to_string(piece.group.value) +
-                                              "." +
-                                              std::to_string(piece.segment)});
+      results.push_back(
+          {PieceStatus::kDone, std::to_string(piece.group.value) + "." +
+                                   std::to_string(piece.segment)});
     }
-    pool.OnCallEnd(now, call.id, CallEnd::kAnswered, results);
+    pool.OnCallEnd(now, call.id, CallStatus::kAnswered, results);
   }
 };
 
--- a/packages/routing/tests/server_choice_test.cc
+++ b/packages/routing/tests/server_choice_test.cc
@@ -23,7 +23,7 @@
   std::vector<ServerPtr> servers;
   ModelCapacity capacity{64, 450'000};
   ServicePace pace;
-  Topology map = TwoRegions();
+  Topology map = TestTopology();
 
   ModelFixture() {
     for (int i = 0; i < 6; ++i) {
@@ -44,7 +44,7 @@
 Test(server_choice, plain_request_stays_in_its_data_centre) {
   const std::vector<ServerPtr> servers = {MakeServer("far", "south", 6),
                                           MakeServer("near", "north", 6)};
-  const Choice choice = ChoosePlain(kStart, servers, {}, {}, TwoRegions());
+  const Choice choice = ChoosePlain(kStart, servers, {}, {}, TestTopology());
   cr_assert(choice.server == servers[1]);
 }
 
@@ -52,7 +52,7 @@
   const std::vector<ServerPtr> servers = {MakeServer("far", "south", 6),
                                           MakeServer("near", "north", 6)};
   servers[1]->own().calls = 18;
-  const Choice choice = ChoosePlain(kStart, servers, {}, {}, TwoRegions());
+  const Choice choice = ChoosePlain(kStart, servers, {}, {}, TestTopology());
   cr_assert(choice.server == servers[0]);
 }
 
@@ -64,7 +64,7 @@
   for (int i = 0; i < 10; ++i) {
     servers[1]->history().OnAnswer(kStart, false, 1.0);
   }
-  const Topology map = TwoRegions();
+  const Topology map = TestTopology();
   cr_assert(ChoosePlain(kStart, servers, {}, {}, map).server == servers[0]);
   const TimePoint later = kStart + std::chrono::seconds(30);
   cr_assert(ChoosePlain(later, servers, {}, {}, map).server == servers[1]);
@@ -78,7 +78,7 @@
   servers[0]->SetRecord(leaving);
   servers[2]->Unlist();
   const std::vector<std::string> tried = {"tried"};
-  const Choice choice = ChoosePlain(kStart, servers, tried, {}, TwoRegions());
+  const Choice choice = ChoosePlain(kStart, servers, tried, {}, TestTopology());
   cr_assert(choice.server == nullptr);
 }
 
--- a/packages/routing/tests/stage_pool_test.cc
+++ b/packages/routing/tests/stage_pool_test.cc
@@ -24,9 +24,9 @@
   const StageGroupId second = fixture.Submit("r2", 3);
   const auto calls = fixture.pool.Dispatch(kStart, fixture.servers);
   fixture.Answer(calls[0], kStart + 200 * kMs);
-  const auto ended = fixture.pool.TakeEnded();
+  const auto ended = fixture.pool.TakeFinished();
   cr_assert_eq(ended.size(), 2);
-  for (const StageGroupEnd& end : ended) {
+  for (const StageGroupResult& end : ended) {
     const std::string name = std::to_string(end.group.value);
     cr_assert_not(end.failure.has_value());
     cr_assert_eq(end.results.size(), end.group == first ? 2 : 3);
@@ -73,15 +73,15 @@
 
 // The caller sees a stage that ends late or not at all. A server of 3 MB
 // results holds 16 of them from the start of their call until they are
-// released; a call filled without regard to that comes back without most of its
-// results, and its time is lost.
+// released; a call filled without regard to that comes back without max_pieces
+// of its results, and its time is lost.
 Test(stage_pool, call_is_filled_by_the_room_that_is_left) {
-  constexpr double kResult = 3e6;
+  constexpr double kResultBytes = 3e6;
   PoolFixture fixture(10, 49e6);
   fixture.servers = {MakeServer("a")};
-  fixture.Submit("r1", 10, std::chrono::seconds(2), 0, kResult);
+  fixture.Submit("r1", 10, std::chrono::seconds(2), 0, kResultBytes);
   for (int i = 0; i < 4; ++i) {
-    fixture.Submit("r2", 2, std::chrono::seconds(2), 0, kResult);
+    fixture.Submit("r2", 2, std::chrono::seconds(2), 0, kResultBytes);
   }
   const auto first = fixture.pool.Dispatch(kStart, fixture.servers);
   cr_assert_eq(first[0].pieces.size(), 10);
@@ -94,28 +94,28 @@
 // The caller sees its answer later when the results of a part of its pieces
 // take up the room that the rest would need.
 Test(stage_pool, group_goes_whole_into_one_call) {
-  constexpr double kResult = 3e6;
+  constexpr double kResultBytes = 3e6;
   PoolFixture fixture(10, 49e6);
   fixture.servers = {MakeServer("a")};
   fixture.Submit("r1", 8);
-  fixture.Submit("r2", 4, std::chrono::seconds(2), 0, kResult);
+  fixture.Submit("r2", 4, std::chrono::seconds(2), 0, kResultBytes);
   fixture.Submit("small", 2);
   const auto calls = fixture.pool.Dispatch(kStart, fixture.servers);
   cr_assert_eq(calls[0].pieces.size(), 10);
   for (const StagePiece& piece : calls[0].pieces) {
-    cr_assert(piece.result_bytes < kResult);
+    cr_assert(piece.result_bytes < kResultBytes);
   }
 }
 
 Test(stage_pool, room_that_an_urgent_group_lacks_is_kept_for_it) {
-  constexpr double kResult = 3e6;
+  constexpr double kResultBytes = 3e6;
   PoolFixture fixture(10, 30e6);
   fixture.servers = {MakeServer("a")};
-  fixture.Submit("r1", 8, std::chrono::seconds(1), 0, kResult);
+  fixture.Submit("r1", 8, std::chrono::seconds(1), 0, kResultBytes);
   const auto first = fixture.pool.Dispatch(kStart, fixture.servers);
   fixture.Answer(first[0], kStart + 280 * kMs);
-  fixture.Submit("urgent", 6, std::chrono::seconds(1), 0, kResult);
-  fixture.Submit("behind", 1, std::chrono::seconds(2), 0, kResult);
+  fixture.Submit("urgent", 6, std::chrono::seconds(1), 0, kResultBytes);
+  fixture.Submit("behind", 1, std::chrono::seconds(2), 0, kResultBytes);
   cr_assert(fixture.pool.Dispatch(kStart + 290 * kMs, fixture.servers).empty());
 }
 
@@ -128,15 +128,15 @@
 }
 
 Test(stage_pool, released_results_make_room) {
-  constexpr double kResult = 3e6;
+  constexpr double kResultBytes = 3e6;
   PoolFixture fixture(10, 30e6);
   fixture.servers = {MakeServer("a")};
-  fixture.Submit("r1", 10, std::chrono::seconds(2), 0, kResult);
-  fixture.Submit("r2", 10, std::chrono::seconds(2), 0, kResult);
+  fixture.Submit("r1", 10, std::chrono::seconds(2), 0, kResultBytes);
+  fixture.Submit("r2", 10, std::chrono::seconds(2), 0, kResultBytes);
   const auto first = fixture.pool.Dispatch(kStart, fixture.servers);
   fixture.Answer(first[0], kStart + 280 * kMs);
   cr_assert(fixture.pool.Dispatch(kStart + 280 * kMs, fixture.servers).empty());
-  const auto ended = fixture.pool.TakeEnded();
+  const auto ended = fixture.pool.TakeFinished();
   fixture.pool.OnReleased(ended[0].results);
   const auto second =
       fixture.pool.Dispatch(kStart + 300 * kMs, fixture.servers);
@@ -144,14 +144,14 @@
 }
 
 Test(stage_pool, unreleased_results_run_out) {
-  constexpr double kResult = 3e6;
+  constexpr double kResultBytes = 3e6;
   PoolFixture fixture(10, 30e6);
   fixture.servers = {MakeServer("a")};
-  fixture.Submit("r1", 10, std::chrono::seconds(2), 0, kResult);
+  fixture.Submit("r1", 10, std::chrono::seconds(2), 0, kResultBytes);
   const auto first = fixture.pool.Dispatch(kStart, fixture.servers);
   fixture.Answer(first[0], kStart + 280 * kMs);
   const TimePoint later = kStart + std::chrono::seconds(5);
-  fixture.Submit("r2", 10, std::chrono::seconds(2), 0, kResult, later);
+  fixture.Submit("r2", 10, std::chrono::seconds(2), 0, kResultBytes, later);
   cr_assert_eq(fixture.pool.Dispatch(later, fixture.servers)[0].pieces.size(),
                10);
 }
@@ -164,7 +164,8 @@
   fixture.servers = {MakeServer("a"), MakeServer("b")};
   fixture.Submit("r1", 3);
   const auto first = fixture.pool.Dispatch(kStart, fixture.servers);
-  fixture.pool.OnCallEnd(kStart + 10 * kMs, first[0].id, CallEnd::kBroken, {});
+  fixture.pool.OnCallEnd(kStart + 10 * kMs, first[0].id, CallStatus::kBroken,
+                         {});
   const auto again = fixture.pool.Dispatch(kStart + 11 * kMs, fixture.servers);
   cr_assert_eq(again.size(), 1);
   cr_assert_eq(again[0].pieces.size(), 3);
@@ -173,7 +174,7 @@
 
 Test(stage_pool, slow_server_is_left_out_while_another_is_open) {
   PoolFixture fixture(10);
-  fixture.servers = {MakeServer("slow"), MakeServer("sound")};
+  fixture.servers = {MakeServer("slow"), MakeServer("healthy")};
   for (int i = 0; i < 30; ++i) {
     fixture.servers[0]->history().OnAnswer(kStart, true, 5.0);
   }
@@ -189,7 +190,7 @@
   const StageGroupId group = fixture.Submit("r1", 3);
   const TimePoint late = kStart + std::chrono::milliseconds(5900);
   cr_assert(fixture.pool.Dispatch(late, fixture.servers).empty());
-  const auto ended = fixture.pool.TakeEnded();
+  const auto ended = fixture.pool.TakeFinished();
   cr_assert_eq(ended.size(), 1);
   cr_assert_eq(ended[0].group.value, group.value);
   cr_assert(ended[0].failure == StageFailure::kLate);
@@ -206,13 +207,13 @@
   const StageGroupId last =
       fixture.Submit("last", 10, std::chrono::seconds(2), 1);
   fixture.pool.Dispatch(kStart, fixture.servers);
-  const auto ended = fixture.pool.TakeEnded();
-  bool given_up = false;
-  for (const StageGroupEnd& end : ended) {
+  const auto ended = fixture.pool.TakeFinished();
+  bool rejected = false;
+  for (const StageGroupResult& end : ended) {
     cr_assert(end.failure == StageFailure::kLate);
-    given_up |= end.group == last;
+    rejected |= end.group == last;
   }
-  cr_assert(given_up);
+  cr_assert(rejected);
   // A group takes 280 ms of the one server, and all are of use for 6 s.
   cr_assert_geq(ended.size(), 9);
 }
@@ -221,7 +222,7 @@
   PoolFixture fixture(10);
   fixture.Submit("r1", 3);
   fixture.pool.Dispatch(kStart, fixture.servers);
-  const auto ended = fixture.pool.TakeEnded();
+  const auto ended = fixture.pool.TakeFinished();
   cr_assert(ended.at(0).failure == StageFailure::kNoServer);
 }
 
@@ -233,7 +234,7 @@
   fixture.pool.Cancel(group);
   fixture.Answer(calls[0], kStart + 200 * kMs);
   cr_assert_eq(fixture.pool.TakeOrphans().size(), 2);
-  cr_assert(fixture.pool.TakeEnded().empty());
+  cr_assert(fixture.pool.TakeFinished().empty());
 }
 
 Test(stage_pool, lost_input_ends_the_group) {
@@ -241,10 +242,11 @@
   fixture.servers = {MakeServer("a")};
   fixture.Submit("r1", 1);
   const auto calls = fixture.pool.Dispatch(kStart, fixture.servers);
-  const PieceResult gone{PieceEnd::kInputGone, ""};
-  fixture.pool.OnCallEnd(kStart + 160 * kMs, calls[0].id, CallEnd::kAnswered,
+  const PieceResult gone{PieceStatus::kInputGone, ""};
+  fixture.pool.OnCallEnd(kStart + 160 * kMs, calls[0].id, CallStatus::kAnswered,
                          {&gone, 1});
-  cr_assert(fixture.pool.TakeEnded().at(0).failure == StageFailure::kInputGone);
+  cr_assert(fixture.pool.TakeFinished().at(0).failure ==
+            StageFailure::kInputGone);
 }
 
 Test(stage_pool, backlog_counts_late_work_apart) {
--- a/packages/routing/tests/work_order_test.cc
+++ b/packages/routing/tests/work_order_test.cc
@@ -15,12 +15,12 @@
 struct QueueFixture {
   std::vector<WaitingWork> waiting;
 
-  std::uint64_t Add(Duration wanted_in,
+  std::uint64_t Add(Duration due_in,
                     Duration server_time,
                     double value = 1,
                     TimePoint came = kStart) {
     const std::uint64_t id = waiting.size() + 1;
-    waiting.push_back({id, came, kStart + wanted_in, server_time,
+    waiting.push_back({id, came, kStart + due_in, server_time,
                        /*shortest=*/server_time, value});
     return id;
   }
@@ -38,7 +38,7 @@
     TimePoint now = kStart;
     for (const WaitingWork& work : OrderWork(kStart, waiting, Duration{0}, 1)) {
       now += work.server_time;
-      value += now <= work.wanted ? work.value : 0.0;
+      value += now <= work.soft_deadline ? work.value : 0.0;
     }
     return value;
   }
