--- a/packages/routing/include/gentianroute/routing/stage_pool.h
+++ b/packages/routing/include/gentianroute/routing/stage_pool.h
@@ -23,31 +23,31 @@
 
 /// @brief All pieces of one stage of one request.
 struct StageGroup {
-  std::string request;  ///< the caller's id of the request
+  std::string request;  ///< the caller's request id
   std::uint32_t stage = 0;
   std::uint32_t pieces = 0;
-  std::vector<std::string> inputs;  ///< results that each piece reads
-  std::string key;                  ///< in place of inputs
-  std::string work_class;           ///< pieces of equal work have the same text
-  TimePoint soft_deadline{};        ///< done by then, the request is in time
-  TimePoint deadline{};             ///< later than that it is of no use
-  std::uint32_t priority = 0;       ///< 0 is worth max_pieces
-  double weight = 1;                ///< among the requests of its route
-  double result_bytes = 0;          ///< room that one result takes, about
+  std::vector<std::string> inputs;  ///< results that every piece reads
+  std::string key;         ///< stands in for inputs in stages without any
+  std::string work_class;  ///< pieces with equal text take about the same time
+  TimePoint soft_deadline{};   ///< the group is on time until then
+  TimePoint deadline{};        ///< results are useless after this
+  std::uint32_t priority = 0;  ///< 0 is the most valuable
+  double weight = 1;           ///< relative to the other requests of its route
+  double result_bytes = 0;     ///< estimated size of one result
 };
 
-/// @brief Server time that waits or runs, summed over servers.
+/// @brief Server time needed by queued and running work, summed over servers.
 struct Backlog {
-  Duration in_time{};  ///< of groups that can still be in time, and of calls
+  Duration in_time{};  ///< groups that can be on time, and running calls
   Duration all{};
 };
 
-/// @brief Why a group was given up.
+/// @brief Why a group failed.
 enum class StageFailure : std::uint8_t {
-  kLate,       ///< its deadline can't be met
-  kInputGone,  ///< a result that it reads does not exist any more
-  kFailed,     ///< servers failed it again and again
-  kNoServer,   ///< there is no server
+  kLate,       ///< the deadline can't be met
+  kInputGone,  ///< an input result no longer exists
+  kFailed,     ///< its pieces failed too many times
+  kNoServer,   ///< no server accepts work
 };
 
 struct StagePiece {
@@ -56,7 +56,7 @@
   double result_bytes = 0;
 };
 
-/// @brief A call to be sent now.
+/// @brief A call to send now.
 struct StageCall {
   StageCallId id;
   ServerPtr server;
@@ -65,7 +65,7 @@
   Duration timeout{};
 };
 
-/// @brief What became of one piece of a call.
+/// @brief Outcome of one piece of a call.
 enum class PieceStatus : std::uint8_t {
   kDone,
   kLate,
@@ -78,11 +78,11 @@
   std::string result;
 };
 
-/// @brief How a call ended as a whole.
+/// @brief Outcome of a call as a whole.
 enum class CallStatus : std::uint8_t {
   kAnswered,
-  kRefused,  ///< not run; the server is full or another one
-  kBroken,   ///< no answer; its pieces may have been made, and are made again
+  kRefused,  ///< not executed: server full or replaced
+  kBroken,   ///< no answer: its pieces may have run, and are run again
 };
 
 struct StageGroupResult {
@@ -91,14 +91,14 @@
   std::vector<std::string> results;
 };
 
-/// @brief Fills the calls of the servers of one stage service in one data
-/// centre.
+/// @brief Batches pieces into calls to the servers of one stage service in one
+/// data centre.
 ///
-/// A call costs much and a piece little, so calls that hold one request's
-/// pieces overload servers that full calls use half. All daemons hand their
-/// pieces to the one that runs this pool; a piece waits here and not at a
-/// server, so that it can still fill the next call and be overtaken by a more
-/// urgent one.
+/// A call has a high fixed cost and a piece a low one: calls that hold the
+/// pieces of only one request overload servers that full calls would use at
+/// half capacity. All daemons therefore submit their pieces to the one daemon
+/// that runs this pool. Pieces queue here rather than at a server, so that they
+/// can still join the next call and more urgent ones can overtake them.
 class StagePool {
  public:
   explicit StagePool(StageCapacity capacity) : capacity_(capacity) {}
@@ -106,29 +106,30 @@
   void SetCapacity(StageCapacity capacity) { capacity_ = capacity; }
 
   StageGroupId Submit(TimePoint now, StageGroup group);
-  /// @brief Its request has ended; pieces that wait are dropped.
+  /// @brief Drops the queued pieces of a group whose request has ended.
   void Cancel(StageGroupId group);
   const StageGroup* Find(StageGroupId group) const;
 
-  /// @brief Calls to send now to the servers that are free.
+  /// @brief Returns the calls to send now to servers with a free slot.
   std::vector<StageCall> Dispatch(TimePoint now,
                                   std::span<const ServerPtr> servers);
-  /// @param results with kAnswered one for each piece, in the call's order
+  /// @param results with kAnswered, one for each piece in the order of the call
   void OnCallEnd(TimePoint now,
                  StageCallId call,
                  CallStatus end,
                  std::span<const PieceResult> results);
 
-  /// @brief Nobody will read these results any more; their room is free.
+  /// @brief Notes that nobody reads these results any more; frees their
+  /// storage.
   void OnReleased(std::span<const std::string> results);
 
-  /// @brief Groups that have ended since the last call.
+  /// @brief Groups that have ended since the previous call of this function.
   std::vector<StageGroupResult> TakeFinished();
-  /// @brief Results that nobody will read: their group has ended before.
+  /// @brief Results of groups that have already ended, to be released unread.
   std::vector<std::string> TakeOrphans();
 
   routing::Backlog BacklogAt(TimePoint now) const;
-  /// @brief How soon Dispatch() has to be called, if nothing else happens.
+  /// @brief Time after which Dispatch() must be called if nothing else happens.
   Duration NextDispatchDelay() const;
   std::size_t waiting_pieces() const { return waiting_pieces_; }
 
@@ -136,31 +137,31 @@
   struct Group {
     StageGroup group;
     TimePoint submitted_at{};
-    std::vector<std::uint32_t> waiting;  ///< segments, in descending order
+    std::vector<std::uint32_t> waiting;  ///< segments, descending
     std::uint32_t running = 0;
     std::uint32_t done = 0;
-    std::uint32_t failed_attempts = 0;  ///< of failed pieces, together
+    std::uint32_t failed_attempts = 0;  ///< summed over all pieces
     std::vector<std::string> results;
   };
   struct Running {
     StageCall call;
     TimePoint started_at{};
   };
-  struct ServerState {  ///< what the pool knows of one server
+  struct ServerState {  ///< what the pool knows about one server
     std::uint32_t calls = 0;
     TimePoint hold_until{};
     TimePoint busy_until{};
-    double used_bytes = 0;  ///< room of results that are made or being made
+    double used_bytes = 0;  ///< of stored and running results
   };
-  struct StoredResult {  ///< a result that takes up room
+  struct StoredResult {  ///< a result that occupies storage at its server
     std::string server;
     double bytes = 0;
     TimePoint expires_at{};
   };
   std::vector<WaitingWork> ByUrgency(TimePoint now, std::size_t servers) const;
-  /// Ends the groups that what goes before them leaves no time for: their
-  /// callers learn it now and not at their deadline.
-  /// @return the others, the max_pieces urgent first
+  /// Ends the groups whose deadline can't be met behind the work ahead of them,
+  /// so that their callers learn it now and not at the deadline.
+  /// @return the remaining groups, the most urgent first
   std::vector<StageGroupId> EndLateGroups(TimePoint now, std::size_t servers);
   Duration RunningTime(TimePoint now) const;
   std::vector<ServerPtr> FreeServers(TimePoint now,
@@ -171,9 +172,9 @@
                      std::span<const StageGroupId> order);
   bool HasStorage(const ServerState& state, double bytes) const;
   bool HasLargeResults(const StageGroup& group) const;
-  /// Whether a call may take a group's pieces. A group goes whole into one
-  /// call: the results of a part of it would take up room, and help nobody,
-  /// until the rest is made.
+  /// Whether a call may take pieces of a group. A group that fits into one call
+  /// is not split: the results of a part of it would occupy storage without use
+  /// until the rest is computed.
   bool CanAddToCall(const ServerState& state,
                     const Group& entry,
                     std::size_t free_pieces) const;
@@ -186,7 +187,7 @@
   void ExpireResults(TimePoint now);
   bool CanFinishInTime(TimePoint now, const StageGroup& group) const;
   Duration PieceTime(const StageGroup& group) const;
-  /// Server time of the pieces of a group that wait, in full calls.
+  /// Server time of a group's queued pieces, assuming full calls.
   Duration WaitingTime(const Group& entry) const;
   Duration ExpectedCallTime(std::span<const StagePiece> pieces) const;
   void UpdatePieceTimes(const Running& running, Duration taken);
@@ -196,7 +197,7 @@
                     const StagePiece& piece,
                     const PieceResult& result);
   void RequeuePiece(const StagePiece& piece);
-  /// Nobody will read these results.
+  /// Adds results that nobody will read to the orphans.
   void AddOrphans(std::vector<std::string>& results);
   void FinishGroup(StageGroupId group, std::optional<StageFailure> failure);
 
@@ -205,7 +206,7 @@
   std::map<StageCallId, Running> running_;
   std::map<std::string, ServerState, std::less<>> server_states_;
   std::unordered_map<std::string, StoredResult> stored_results_;
-  /// Time of a piece of each sort of work, learnt from calls.
+  /// Time of one piece by work class, learned from calls.
   std::map<std::string, Duration, std::less<>> piece_times_;
   std::vector<StageGroupResult> finished_;
   std::vector<std::string> orphans_;
--- a/packages/routing/include/gentianroute/routing/work_order.h
+++ b/packages/routing/include/gentianroute/routing/work_order.h
@@ -8,26 +8,26 @@
 
 namespace gentianroute::routing {
 
-/// @brief Work that waits for servers that are shared.
+/// @brief A work item queued for a group of shared servers.
 struct WaitingWork {
   std::uint64_t id = 0;
   TimePoint submitted_at{};
-  TimePoint soft_deadline{};  ///< done by then, its request is in time
-  Duration server_time{};     ///< that it takes
-  Duration min_duration{};    ///< from its start to its end
-  double value = 0;           ///< to its caller, if it is in time
+  TimePoint soft_deadline{};  ///< its request is on time if it ends by then
+  Duration server_time{};     ///< server time that it needs
+  Duration min_duration{};    ///< shortest time from its start to its end
+  double value = 0;           ///< value to its caller if it is on time
 };
 
-/// @brief Orders work so that the most value is in time.
+/// @brief Orders work to maximise the value that is done on time.
 ///
-/// As long as all can be in time, what is wanted first goes first. In a burst
-/// that order would let each wait until it is late; so whenever the next one
-/// would miss its time, the work of lowest value for its server time among
-/// those before it steps back. What is late or has stepped back follows, by
-/// value for its server time and by how long it has waited, so that nothing
-/// waits for ever behind work of more value.
-/// @param busy time until the servers are free, summed over them
-/// @return the work, the next to be done first
+/// Work is ordered by earliest deadline first. Under overload that order alone
+/// would make everything late. Whenever an item would miss its soft deadline,
+/// the item with the lowest value for its server time is therefore displaced
+/// from those up to it. Late and displaced work follows, by value for its
+/// server time, which grows with the time in the queue so that nothing starves
+/// behind more valuable work.
+/// @param busy time until the servers are free, summed over servers
+/// @return the work in order of execution
 /// @complexity O(n log n)
 std::vector<WaitingWork> OrderWork(TimePoint now,
                                    std::vector<WaitingWork> waiting,
--- a/packages/routing/src/stage_pool.cc
+++ b/packages/routing/src/stage_pool.cc
@@ -7,34 +7,36 @@
 namespace gentianroute::routing {
 namespace {
 
-/// What a request is worth against one of the next lower priority. Operators
-/// give an order only; a factor keeps the urgent first where all else is alike,
-/// and lets a small piece of work go before a large one that is hardly more
-/// urgent.
+/// Value of a request relative to one of the next lower priority. Operators
+/// only give an order. A factor favours the more urgent request where all else
+/// is equal, and still lets small work go ahead of large work that is hardly
+/// more urgent.
 constexpr double kPriorityValueRatio = 3.0;
-/// A server this much slower than expected is left out while another is open;
-/// its history fades in seconds, after which it is tried again.
+/// A server with a slowness above this is skipped while another one accepts
+/// work. Its history decays within seconds, after which it is tried again.
 constexpr double kSlownessLimit = 2.5;
-/// A call is given up after this many times its expected time and a margin. A
-/// slowed server takes five times as long, and its answer is still worth
-/// having; one that is dark never answers.
+/// A call times out after this many times its expected duration plus a margin.
+/// A server at a fifth of its speed still gives a usable answer; one that is
+/// down never answers.
 constexpr int kCallTimeoutFactor = 4;
 constexpr Duration kCallTimeoutMargin = std::chrono::milliseconds(300);
-/// A server without room, or that refused, is not asked again for this long:
-/// the time in which one more call's results are read and freed.
+/// A server that is out of storage or refused a call gets no call for this
+/// long, the time in which the results of one more call are read and released.
 constexpr Duration kServerHoldTime = std::chrono::milliseconds(100);
-/// How often held servers are looked at while pieces wait for them.
+/// How often Dispatch() is repeated while pieces are queued, to find servers
+/// whose hold has ended.
 constexpr Duration kDispatchInterval = std::chrono::milliseconds(25);
-/// A result above this share of a server's room is worth keeping room for; all
-/// others find some in any case.
+/// Storage is reserved only for results above this share of a server's storage;
+/// smaller ones always find some.
 constexpr double kLargeResultShare = 0.02;
-/// How often results that have run out are looked for.
+/// How often expired results are searched for.
 constexpr Duration kExpiryPeriod = std::chrono::milliseconds(200);
-/// Failed pieces that a group survives.
+/// Failed attempts that a group may have, beside one for each of its pieces.
 constexpr std::uint32_t kMaxFailedAttempts = 6;
-/// Weight of the newest call in the learnt time of a piece.
+/// Weight of the newest call in the learned time of a piece.
 constexpr double kLearningRate = 0.2;
-/// Calls outside these bounds tell of the server and not of the work.
+/// Calls with a ratio of actual to expected time outside of these bounds
+/// reflect the state of the server, not the work, and are not learned from.
 constexpr double kMinLearnedRatio = 0.4;
 constexpr double kMaxLearnedRatio = 1.5;
 
@@ -172,8 +174,8 @@
   const std::vector<StageGroupId> order = EndLateGroups(now, open);
   const std::vector<ServerPtr> free = FreeServers(now, servers);
   for (std::size_t i = 0; i < free.size() && waiting_pieces_ > 0; ++i) {
-    // Free servers share what waits, but no call is split below half of its
-    // size: a server that stays free serves the next request at once.
+    // Free servers share the queued pieces, but no call gets less than half a
+    // batch: a server that stays free serves the next request immediately.
     const std::size_t free_left = free.size() - i;
     const std::size_t share = (waiting_pieces_ + free_left - 1) / free_left;
     const std::size_t half = (capacity_.batch + 1) / 2;
@@ -202,7 +204,8 @@
       continue;
     }
     if (!CanAddToCall(state, entry, max_pieces - call.pieces.size())) {
-      // The room that it lacks is not given to those behind it.
+      // Less urgent large groups must not take the storage that this one waits
+      // for.
       reserves_storage = reserves_storage || large;
       continue;
     }
@@ -260,7 +263,7 @@
 }
 
 bool StagePool::HasStorage(const ServerState& state, double bytes) const {
-  // A server without any result takes one of any size.
+  // A server that holds no results takes one of any size.
   return capacity_.result_storage_bytes <= 0 || state.used_bytes <= 0 ||
          state.used_bytes + bytes <= capacity_.result_storage_bytes;
 }
@@ -343,7 +346,8 @@
     if (found == groups_.end()) {
       continue;
     }
-    // Each piece of a call moves its work by its part of the call's lesson.
+    // Each piece shifts the estimate of its work class by its share of the
+    // learning rate of the call.
     const double rate =
         kLearningRate / static_cast<double>(running.call.pieces.size());
     const Duration before = PieceTime(found->second.group);
--- a/packages/routing/src/work_order.cc
+++ b/packages/routing/src/work_order.cc
@@ -7,10 +7,10 @@
 namespace gentianroute::routing {
 namespace {
 
-/// Late work doubles its claim in this time.
+/// The value density of late work doubles in this time.
 constexpr double kAgeingDoublingSeconds = 1.0;
 
-/// Value for a second of a server.
+/// Value for each second of server time.
 double ValueDensity(const WaitingWork& work) {
   constexpr double kMinSeconds = 1e-6;
   return work.value / std::max(kMinSeconds, Seconds(work.server_time));
@@ -21,7 +21,8 @@
          std::exp2(Seconds(now - work.submitted_at) / kAgeingDoublingSeconds);
 }
 
-/// What is still in time, and what has stepped back for it.
+/// The work that can meet its soft deadline, and the work that was late or
+/// displaced.
 class FeasibleSchedule {
  public:
   FeasibleSchedule(TimePoint now, Duration busy, std::size_t servers)
@@ -30,14 +31,15 @@
         servers_(static_cast<std::int64_t>(std::max<std::size_t>(1, servers))) {
   }
 
-  /// Work in the order in which it is wanted.
+  /// Must be called in the order of soft deadlines.
   void Add(const WaitingWork& work) {
     Insert(work);
     std::vector<WaitingWork> displaced;
     while (FinishTime(work) > work.soft_deadline) {
       displaced.push_back(RemoveLowestDensity());
       if (displaced.back().id == work.id) {
-        // All that stays was in time before it came, and is again without it.
+        // The remaining work was on time before this item was added, and is
+        // again without it.
         displaced.pop_back();
         for (const WaitingWork& other : displaced) {
           Insert(other);
@@ -78,7 +80,8 @@
   }
 
   TimePoint FinishTime(const WaitingWork& work) const {
-    // It takes a server of its own while the others do what goes before it.
+    // The item occupies a server of its own while the other servers do the work
+    // ahead of it.
     const Duration before = total_time_ - work.server_time * servers_;
     return now_ + std::max(Duration{0}, before / servers_) + work.min_duration;
   }
--- a/packages/routing/tests/routing_fixture.h
+++ b/packages/routing/tests/routing_fixture.h
@@ -31,7 +31,7 @@
   return Topology("north", {{"north", "N"}, {"north-b", "N"}, {"south", "S"}});
 }
 
-/// A stage pool with the figures of the deployments' sheets.
+/// A stage pool with call and piece times as in the reference deployments.
 struct PoolFixture {
   StageCapacity capacity;
   StagePool pool;
@@ -67,7 +67,7 @@
     return pool.Submit(now, group);
   }
 
-  /// Ends a call with a result for each piece, named by group and segment.
+  /// Completes a call with one result for each piece, named "group.segment".
   void Answer(const StageCall& call, TimePoint now) {
     std::vector<PieceResult> results;
     for (const StagePiece& piece : call.pieces) {
--- a/packages/routing/tests/stage_pool_test.cc
+++ b/packages/routing/tests/stage_pool_test.cc
@@ -50,9 +50,8 @@
   }
 }
 
-// A burst brings more pieces than the servers can do. What can't be in time any
-// more would take the place of what still can, and then both were late: so it
-// waits behind, although it came first.
+// Overload: running first the group that can no longer be on time would make
+// the other one late as well. It goes last although it was submitted first.
 Test(stage_pool, burst_serves_first_what_can_still_be_in_time) {
   PoolFixture fixture(4);
   fixture.servers = {MakeServer("a")};
@@ -71,10 +70,9 @@
   cr_assert_eq(fixture.pool.Dispatch(kStart, fixture.servers).size(), 1);
 }
 
-// The caller sees a stage that ends late or not at all. A server of 3 MB
-// results holds 16 of them from the start of their call until they are
-// released; a call filled without regard to that comes back without max_pieces
-// of its results, and its time is lost.
+// A server with storage for 16 results of 3 MB holds each from the start of its
+// call until it is released. A call filled beyond the free storage would come
+// back without most of its results, and its time would be wasted.
 Test(stage_pool, call_is_filled_by_the_room_that_is_left) {
   constexpr double kResultBytes = 3e6;
   PoolFixture fixture(10, 49e6);
@@ -91,8 +89,8 @@
   cr_assert_eq(second[0].pieces.size(), 6);
 }
 
-// The caller sees its answer later when the results of a part of its pieces
-// take up the room that the rest would need.
+// Results of a part of a group would occupy the storage that its rest needs,
+// and delay the whole group.
 Test(stage_pool, group_goes_whole_into_one_call) {
   constexpr double kResultBytes = 3e6;
   PoolFixture fixture(10, 49e6);
@@ -156,9 +154,8 @@
                10);
 }
 
-// The caller sees its answer some hundred milliseconds later, and not an error.
-// A server dies with a call; the pieces have no effect but their results, so
-// they go to another server, and the dead one is left out.
+// A server fails during a call. The pieces have no side effects, so they are
+// run again on another server, and the failed one is avoided.
 Test(stage_pool, broken_call_is_made_again_elsewhere) {
   PoolFixture fixture(10);
   fixture.servers = {MakeServer("a"), MakeServer("b")};
@@ -196,8 +193,8 @@
   cr_assert(ended[0].failure == StageFailure::kLate);
 }
 
-// The caller learns at once that it has come for nothing, while it still has
-// time to come back: what goes before it takes longer than it can wait.
+// The work ahead of the group takes longer than its deadline allows. The caller
+// must learn this at once, while it still has time to retry.
 Test(stage_pool, group_behind_too_much_work_is_given_up_at_once) {
   PoolFixture fixture(10);
   fixture.servers = {MakeServer("a")};
@@ -214,7 +211,7 @@
     rejected |= end.group == last;
   }
   cr_assert(rejected);
-  // A group takes 280 ms of the one server, and all are of use for 6 s.
+  // Each group takes 280 ms of the only server, and all deadlines are 6 s away.
   cr_assert_geq(ended.size(), 9);
 }
 
--- a/packages/routing/tests/work_order_displacement_test.cc
+++ b/packages/routing/tests/work_order_displacement_test.cc
@@ -8,10 +8,9 @@
 using namespace gentianroute;
 using namespace gentianroute::routing;
 
-// Load: two requests of much value fill the time of one server and can both be
-// in time; a small one of little value comes behind them and can't. Its caller
-// waits. The two must stay as they are: once the small one has stepped back,
-// nothing is late any more.
+// Two requests of high value fill the time of one server and can both be on
+// time; a small third one of little value can't. Displacing the small one makes
+// the schedule feasible again, so the two must keep their places.
 Test(work_order_displacement, displaced_work_displaces_no_other_work) {
   constexpr Duration kMinDuration = 246 * kMs;
   const std::vector<WaitingWork> waiting = {
@@ -25,9 +24,9 @@
   cr_assert_eq(order[2].id, 3);
 }
 
-// Load: as above, but what comes last is worth more for its time than one of
-// the two, and too long to be in time even in that one's place. It alone is
-// late: whatever would have made way for it keeps its place.
+// As above, but the third request has a higher value density than the first,
+// and is too long to be on time even in its place. Only the third is late; any
+// request that would have been displaced for it keeps its place.
 Test(work_order_displacement, infeasible_work_displaces_no_other_work) {
   constexpr Duration kMinDuration = 246 * kMs;
   const std::vector<WaitingWork> waiting = {
--- a/packages/routing/tests/work_order_test.cc
+++ b/packages/routing/tests/work_order_test.cc
@@ -11,7 +11,7 @@
 
 namespace {
 
-/// Work that waits for one server.
+/// Work queued for one server.
 struct QueueFixture {
   std::vector<WaitingWork> waiting;
 
@@ -32,7 +32,7 @@
     }
     return ids;
   }
-  /// How much value ends in time if the server does it in order.
+  /// Value done on time if one server runs the work in order.
   double ValueInTime() const {
     double value = 0;
     TimePoint now = kStart;
@@ -50,12 +50,12 @@
   QueueFixture fixture;
   const auto later = fixture.Add(900 * kMs, 100 * kMs, 100);
   const auto sooner = fixture.Add(400 * kMs, 100 * kMs, 1);
-  const std::vector<std::uint64_t> wanted = {sooner, later};
-  cr_assert(fixture.Order() == wanted);
+  const std::vector<std::uint64_t> expected = {sooner, later};
+  cr_assert(fixture.Order() == expected);
 }
 
-// Load: twice as much as the servers can do is wanted at once. In the order in
-// which it is wanted every piece waits until it is late, and all is lost.
+// Overload: twice as much work is due at once as the server can do. With
+// earliest deadline first alone, all of it would be late.
 Test(work_order, burst_keeps_half_of_it_in_time) {
   QueueFixture fixture;
   for (int i = 0; i < 20; ++i) {
@@ -64,41 +64,42 @@
   cr_assert_geq(fixture.ValueInTime(), 9);
 }
 
-// Load: a burst of small, cheap answers beside urgent requests of much value.
+// Overload: cheap requests of low value compete with urgent ones of high value.
 Test(work_order, work_of_less_value_for_its_server_time_steps_back) {
   QueueFixture fixture;
   const auto cheap = fixture.Add(200 * kMs, 100 * kMs, 0.1);
   const auto dear = fixture.Add(210 * kMs, 150 * kMs, 1.0);
-  const std::vector<std::uint64_t> wanted = {dear, cheap};
-  cr_assert(fixture.Order() == wanted);
+  const std::vector<std::uint64_t> expected = {dear, cheap};
+  cr_assert(fixture.Order() == expected);
 }
 
-// A request of little value that takes hardly any server time is not worth
-// less than a large one.
+// A request of low value that needs very little server time has a higher value
+// density than a large one.
 Test(work_order, small_work_is_judged_by_the_time_that_it_takes) {
   QueueFixture fixture;
   const auto large = fixture.Add(200 * kMs, 190 * kMs, 1.0);
   const auto small = fixture.Add(205 * kMs, 20 * kMs, 0.3);
-  const std::vector<std::uint64_t> wanted = {small, large};
-  cr_assert(fixture.Order() == wanted);
+  const std::vector<std::uint64_t> expected = {small, large};
+  cr_assert(fixture.Order() == expected);
 }
 
 Test(work_order, late_work_of_more_value_waits_behind_what_is_in_time) {
   QueueFixture fixture;
   const auto late = fixture.Add(-100 * kMs, 50 * kMs, 9.0);
   const auto timely = fixture.Add(500 * kMs, 50 * kMs, 1.0);
-  const std::vector<std::uint64_t> wanted = {timely, late};
-  cr_assert(fixture.Order() == wanted);
+  const std::vector<std::uint64_t> expected = {timely, late};
+  cr_assert(fixture.Order() == expected);
 }
 
-// Nobody starves: among late work, a claim grows with the wait.
+// No starvation: the value density of late work grows with its time in the
+// queue.
 Test(work_order, late_work_that_has_waited_long_goes_before_more_value) {
   QueueFixture fixture;
   const auto fresh = fixture.Add(-100 * kMs, 50 * kMs, 9.0);
   const auto old =
       fixture.Add(-100 * kMs, 50 * kMs, 1.0, kStart - std::chrono::seconds(4));
-  const std::vector<std::uint64_t> wanted = {old, fresh};
-  cr_assert(fixture.Order() == wanted);
+  const std::vector<std::uint64_t> expected = {old, fresh};
+  cr_assert(fixture.Order() == expected);
 }
 
 Test(work_order, more_servers_keep_more_in_time) {
