--- a/packages/routing/include/gentianroute/routing/answer_watch.h
+++ b/packages/routing/include/gentianroute/routing/answer_watch.h
@@ -10,43 +10,44 @@
 
 namespace gentianroute::routing {
 
-/// A repeatable request is overdue after this many times the time that its
-/// answer should take. A server that is slow by less costs less than a prompt
-/// read again elsewhere.
+/// A repeatable request is overdue after this multiple of its expected time.
+/// Waiting for a server that is less slow than this costs less than a second
+/// prefill at another server.
 inline constexpr double kOverdueFactor = 3.0;
 
-/// @brief How long a repeatable request waits for the first part of its answer
-/// before it goes to another server.
+/// @brief How long a repeatable request waits for the first byte of its answer
+/// before it is sent to another server.
 ///
-/// A server that went dark shows in no other way. Half of the target is always
-/// waited: sooner, another server would not save the answer but only cost.
-/// @param expected time that the answer should take, its way there too
+/// This is the only way to detect a server that became unreachable without
+/// closing its connections. The wait is at least half of the target: up to then
+/// the answer can still be on time, and a second attempt would only add cost.
+/// @param expected expected time to the first byte, including the round trip
 inline Duration FirstByteOverdueAfter(const Route& route, Duration expected) {
   return std::max(route.target / 2, std::chrono::duration_cast<Duration>(
                                         expected * kOverdueFactor));
 }
 
-/// @brief How long a stream that has begun may be still while its server is
-/// not heard on any connection.
+/// @brief How long a started stream may pause while nothing arrives from its
+/// server on any connection.
 ///
-/// Longer than the pauses of a server that reads long prompts between its
-/// events, which are tenths of a second; shorter than callers wait.
+/// Longer than the pauses of a server that prefills long prompts between
+/// events, which last some tenths of a second, and shorter than callers wait.
 inline Duration StreamSilenceTimeout(const Route& route) {
   constexpr Duration kMinTimeout = std::chrono::seconds(1);
   constexpr int kPauseFactor = 4;
   return std::max(kMinTimeout, route.pause_target * kPauseFactor);
 }
 
-/// A daemon that was itself paused wakes with its timers due and its sockets
-/// unread, and every server would seem silent. What waits in the sockets is
-/// read within this time; only then is a server judged.
+/// After a pause of the daemon itself, timers are due while its sockets still
+/// hold unread data, and every server would appear silent. Pending data is read
+/// within this time before a server is judged.
 inline constexpr Duration kSocketReadGrace = std::chrono::milliseconds(50);
 
-/// @brief Notes at a server that an answer is overdue.
+/// @brief Records an overdue answer in the history of its server.
 ///
-/// Slow is not broken: a server that has sent anything to anybody since the
-/// request went there is slow, and only that; one that has not may be gone, and
-/// gets no more work for now.
+/// A server that has sent anything to any caller since the request was sent
+/// only counts as slow. One that has not may be down, and is avoided for a
+/// while.
 /// @param sent when the request was sent
 inline void RecordOverdue(TimePoint now, TimePoint sent, Server& server) {
   if (server.HasReceivedSince(sent)) {
--- a/packages/routing/include/gentianroute/routing/deployment.h
+++ b/packages/routing/include/gentianroute/routing/deployment.h
@@ -13,18 +13,20 @@
 
 namespace gentianroute::routing {
 
-/// @brief What may be done more than once for one request.
+/// @brief How often one request of a route may be executed.
 enum class RouteKind : std::uint8_t {
-  kIdempotent,     ///< may run again
-  kNonIdempotent,  ///< runs at most once
-  kStream,         ///< events; runs once unless the route is resumable
+  kIdempotent,     ///< may be repeated
+  kNonIdempotent,  ///< executed at most once
+  kStream,  ///< event stream; executed once unless the route is resumable
 };
 
-/// @brief ServiceTime that must be done before a request's own call.
+/// @brief A stage whose results a request needs before its own call.
 struct StageSpec {
   std::string service;
-  std::vector<std::uint32_t> after;  ///< stages whose results it reads
-  std::uint64_t result_bytes = 0;    ///< of one piece, about
+  std::vector<std::uint32_t>
+      after;  ///< indexes of the stages whose results it reads
+  std::uint64_t result_bytes =
+      0;  ///< estimated size of the result of one piece
 };
 
 struct WeightedService {
@@ -37,21 +39,21 @@
   std::string hostname;
   std::string prefix;  ///< begins and ends with a slash
   RouteKind kind = RouteKind::kIdempotent;
-  Duration timeout{};          ///< longest time that a caller is kept waiting
-  Duration target{};           ///< an answer within it is in time
-  Duration pause_target{};     ///< longest pause between events that is in time
-  std::uint32_t priority = 0;  ///< 0 goes first
+  Duration timeout{};          ///< longest time until an answer is complete
+  Duration target{};           ///< answers within this time are on time
+  Duration pause_target{};     ///< longest pause between events that is on time
+  std::uint32_t priority = 0;  ///< 0 is the most urgent
   std::vector<WeightedService> services;
-  std::uint32_t max_attempts = 1;  ///< servers that one request may be sent to
+  std::uint32_t max_attempts = 1;  ///< most servers that a request is sent to
   std::vector<StageSpec> stages;
-  bool is_public = false;  ///< asks for no key
+  bool is_public = false;  ///< callers need no key
   bool resumable = false;
 
-  /// @brief How long callers wait for the first part of an answer.
+  /// @brief How long callers wait for the first byte of an answer.
   ///
-  /// Callers give a stream up after a silence of two seconds, of four times its
-  /// target, or of eight times its longest pause, whichever is longest.
-  /// ServiceTime that ends later is for nobody.
+  /// Callers abandon a stream after a silence of two seconds, of four times the
+  /// target or of eight times the longest pause, whichever is longest. Work
+  /// that ends later is wasted.
   Duration FirstByteTimeout() const {
     constexpr int kTargetFactor = 4;
     constexpr int kPauseFactor = 8;
@@ -69,23 +71,23 @@
   }
 };
 
-/// @brief One model server's measure.
+/// @brief Capacity of one model server.
 struct ModelCapacity {
   std::uint32_t slots = 1;
   std::uint64_t memory_tokens = 0;
 };
 
-/// @brief One stage server's measure; a call takes `call` plus each piece's
-/// time.
+/// @brief Capacity of one stage server. A call takes `call_overhead` plus
+/// `piece_time` for each piece.
 struct StageCapacity {
-  std::uint32_t batch = 1;  ///< pieces in one call
-  std::uint32_t slots = 1;  ///< calls at once
+  std::uint32_t batch = 1;  ///< most pieces in one call
+  std::uint32_t slots = 1;  ///< concurrent calls
   Duration call_overhead{};
   Duration piece_time{};
-  double result_storage_bytes = 0;  ///< for results
+  double result_storage_bytes = 0;  ///< for unreleased results; 0: no limit
   Duration result_lifetime{};
 
-  /// @brief What a call takes under load: calls are nearly full then.
+  /// @brief Typical duration of a call under load, when calls are nearly full.
   Duration TypicalCallTime() const {
     return call_overhead + piece_time * batch * 3 / 4;
   }
@@ -100,16 +102,16 @@
 struct Organisation {
   std::string name;
   std::vector<std::string> keys;
-  std::optional<std::uint32_t> priority;  ///< goes before the route's
+  std::optional<std::uint32_t> priority;  ///< overrides that of the route
 };
 
-/// @brief One version of what operators want, in full.
+/// @brief One complete version of the configuration set by operators.
 struct Deployment {
   std::uint64_t version = 0;
   std::vector<Route> routes;
   std::vector<ServiceSpec> services;
   CallerLimits limits;
-  /// Absent: requests carry no key and none is asked for.
+  /// Absent if requests carry no key and none is required.
   std::optional<std::vector<Organisation>> organisations;
 };
 
--- a/packages/routing/include/gentianroute/routing/drain_times.h
+++ b/packages/routing/include/gentianroute/routing/drain_times.h
@@ -5,21 +5,21 @@
 
 namespace gentianroute::routing {
 
-/// @brief The end of a daemon that has been told to stop.
+/// @brief Times in the shutdown of a daemon that has been told to stop.
 struct DrainTimes {
-  TimePoint last_expected_request =
-      kNever;                  ///< nobody should send it requests after this
-  TimePoint ends_at = kNever;  ///< what has not ended by then is broken off
+  /// New connections are not expected after this.
+  TimePoint last_expected_request = kNever;
+  TimePoint ends_at = kNever;  ///< unfinished requests are aborted at this time
 
-  /// @brief Whether a request that comes now is to be taken.
+  /// @brief Whether to accept a request that arrives now.
   ///
-  /// The balancer sends new connections for some seconds after the stop, and
-  /// all of these requests are taken. One that comes later, on a connection
-  /// that was open before, may last longer than this daemon: its stream would
-  /// be cut. Refused at once, it is served elsewhere.
-  /// @param expected time until its whole answer has gone out
+  /// The load balancer sends new connections for some seconds after the stop
+  /// signal, and their requests are all accepted. A later request, on a
+  /// connection that was already open, may outlast the daemon and have its
+  /// stream cut. It is refused at once, so that another daemon can serve it.
+  /// @param expected time until the answer has been sent in full
   bool CanAccept(TimePoint now, Duration expected) const {
-    // Queues and long answers vary by about this much.
+    // Queueing and long answers vary by about this factor.
     constexpr int kSafetyFactor = 2;
     return now < last_expected_request ||
            now + expected * kSafetyFactor <= ends_at;
--- a/packages/routing/include/gentianroute/routing/event_framer.h
+++ b/packages/routing/include/gentianroute/routing/event_framer.h
@@ -6,20 +6,20 @@
 
 namespace gentianroute::routing {
 
-/// @brief Cuts an event stream between its events.
+/// @brief Splits an event stream at event boundaries.
 ///
-/// A server can break off in the middle of an event. Only whole events are
-/// handed on where another server may go on with the stream, so that the caller
-/// gets no event in two halves from two runs.
+/// A server can fail in the middle of an event. If another server may resume
+/// the stream, only whole events are forwarded, so that the caller never gets
+/// an event assembled from two executions.
 class EventFramer {
  public:
-  /// @brief Adds bytes as they come.
-  /// @return the whole events that they complete, byte for byte
+  /// @brief Adds received bytes.
+  /// @return the events that they complete, unchanged
   std::string Feed(std::string_view data);
-  /// @brief Drops the beginning of an event that will not be completed.
+  /// @brief Drops the partial event at the end, which will not be completed.
   void DropPartial() { partial_.clear(); }
   std::string TakePartial();
-  /// @brief Id of the last whole event; empty before the first.
+  /// @brief Id of the last complete event; empty before the first.
   const std::string& last_id() const { return last_id_; }
 
  private:
--- a/packages/routing/include/gentianroute/routing/placed_bytes.h
+++ b/packages/routing/include/gentianroute/routing/placed_bytes.h
@@ -9,18 +9,19 @@
 
 namespace gentianroute::routing {
 
-/// @brief Results of stages that lie in one data centre.
+/// @brief Size of stage results stored in one data centre.
 struct PlacedBytes {
   std::string data_centre;
   double bytes = 0;
 };
 
-/// @brief What the pieces that read a stage's results fetch of them, all
-/// together: each piece fetches all results by itself.
+/// @brief Bytes that the pieces of a stage fetch in total from the results of
+/// an input stage. Each piece fetches all results separately.
 ///
-/// So the results of a stage with a wide reader weigh a multiple of their size.
-/// Weighed once, they would cross between data centres at the least difference
-/// of backlog, and be billed once for each piece.
+/// The results of a stage with many reading pieces therefore count for a
+/// multiple of their size. Counted once, a small difference in backlog would
+/// move the readers to another data centre, where the transfer is billed for
+/// each piece.
 inline PlacedBytes InputTransfer(std::string data_centre,
                                  double result_bytes,
                                  std::uint32_t results,
@@ -28,14 +29,14 @@
   return {std::move(data_centre), result_bytes * results * reader_pieces};
 }
 
-/// Time that a megabyte between data centres is worth when a stage's pool is
-/// chosen: results that cross are billed by volume.
+/// Time equivalent of a megabyte sent between data centres in the choice of a
+/// stage pool; such transfers are billed by volume.
 inline constexpr double kPoolTransferMsPerMegabyte = 80.0;
-/// The same when a model server is chosen. There the other choice is to read
-/// the subject's part of the prompt again, which is billed as well.
+/// The same in the choice of a model server. The alternative there is another
+/// prefill of the shared part of the prompt, which is billed as well.
 inline constexpr double kModelTransferMsPerMegabyte = 5.0;
 
-/// @brief What it costs to read results from a data centre, as milliseconds.
+/// @brief Cost of transferring results to a data centre, in milliseconds.
 inline double TransferCostMs(std::span<const PlacedBytes> results,
                              std::string_view data_centre,
                              double ms_per_megabyte) {
--- a/packages/routing/include/gentianroute/routing/pool_choice.h
+++ b/packages/routing/include/gentianroute/routing/pool_choice.h
@@ -17,57 +17,58 @@
 
 namespace gentianroute::routing {
 
-/// @brief The stage servers of one service in one data centre, and what waits
-/// for them.
+/// @brief State of the pool of stage servers of one service in one data centre.
 struct PoolState {
   std::string service;
   std::string data_centre;
-  std::uint32_t servers = 0;  ///< that can be used
+  std::uint32_t servers = 0;  ///< servers that accept work
   Backlog backlog;
 };
 
-/// @brief ServiceTime that is about to be handed to a pool.
+/// @brief A group of pieces about to be submitted to a pool.
 struct PoolWork {
   std::uint32_t pieces = 0;
   Duration piece_time{};
   std::vector<PlacedBytes> inputs;
-  double result_bytes = 0;  ///< of all pieces
-  std::string
-      reader_data_centre;  ///< data centre of what reads the results, if known
-  Duration time_left{};    ///< it is in time_ms if it is completed within this
+  double result_bytes = 0;         ///< total size of the results of all pieces
+  std::string reader_data_centre;  ///< empty if unknown
+  Duration time_left{};            ///< time until its soft deadline
 };
 
-/// @brief Time until a pool is completed with a piece of work that goes before
-/// all that is late already.
+/// @brief Estimated time until a pool finishes work that is ahead of everything
+/// already late.
 Duration EstimatedPoolTime(const PoolState& pool,
                            const PoolWork& work,
                            const StageCapacity& capacity);
 
-/// @brief The pool that is completed first, by backlog and distance.
+/// @brief Chooses the pool that finishes first, by backlog and distance.
 ///
-/// A pool beside its inputs and its reader is preferred by the bytes that need
-/// not cross: they cost money. But a pool where the work would be late loses to
-/// one where it is in time_ms, whatever crosses: in a burst the homes of
-/// subjects have queues while servers elsewhere are free.
-/// @return null if none has a server
+/// Transfers between data centres are billed, so a pool close to the inputs and
+/// to the reader of the results is preferred in proportion to the bytes that it
+/// saves. A pool that would finish late nevertheless loses to one that finishes
+/// on time: under load, the pools closest to the readers have queues while
+/// servers elsewhere are idle.
+/// @return null if no pool has a server
 const PoolState* ChoosePool(std::span<const PoolState> pools,
                             const PoolWork& work,
                             const StageCapacity& capacity,
                             const Topology& topology);
 
-/// @brief What is known of all pools: what their schedulers told, and what was
-/// handed to them since.
+/// @brief State of all pools: the last report of each scheduler, and the work
+/// submitted since.
 class PoolStateTable {
  public:
-  /// @param state as its scheduler told, or the own one
+  /// @param state as reported by the scheduler of the pool, which may be this
+  /// daemon
   void Report(TimePoint now, PoolState state);
-  /// @brief ServiceTime was handed to a pool; counts until its next report.
+  /// @brief Adds work submitted to a pool to its backlog until the next report.
   void OnWorkSubmitted(std::string_view service,
                        std::string_view data_centre,
                        Duration server_time);
-  /// @brief The pools of a service with their backlog as of now.
+  /// @brief Returns the pools of a service with their estimated current
+  /// backlog.
   std::vector<PoolState> PoolsOf(TimePoint now, std::string_view service) const;
-  /// @brief Sets how many servers a pool has, by the host list.
+  /// @brief Sets the number of servers of a pool, from the host list.
   void SetServers(std::string_view service,
                   std::string_view data_centre,
                   std::uint32_t servers);
--- a/packages/routing/include/gentianroute/routing/prompt.h
+++ b/packages/routing/include/gentianroute/routing/prompt.h
@@ -7,28 +7,28 @@
 
 namespace gentianroute::routing {
 
-/// @brief One part of a prompt that requests share.
+/// @brief One part of a prompt, which other requests may share.
 struct PromptPart {
   std::string id;
   double tokens = 0;
 };
 
-/// @brief What a generation asks of a model server.
+/// @brief Prompt and size of one generation.
 struct Prompt {
   std::string model;
   double tokens_in = 0;
-  double tokens_out = 0;       ///< at most
-  double tokens_expected = 0;  ///< the caller's guess; often far off
+  double tokens_out = 0;       ///< upper limit
+  double tokens_expected = 0;  ///< caller's estimate, often far off
   std::vector<PromptPart> parts;
 
-  /// @brief The part by which requests are brought together: the last but one,
-  /// as the last belongs to the request itself.
-  /// @return null if it has no shared part
+  /// @brief The part that decides which server the request prefers: the last
+  /// but one, since the last is unique to the request.
+  /// @return null if there is no shared part
   const PromptPart* Subject() const {
     constexpr std::size_t kFewest = 2;
     return parts.size() < kFewest ? nullptr : &parts[parts.size() - kFewest];
   }
-  /// @brief What is read where all shared parts are kept.
+  /// @brief Tokens to prefill if all shared parts are cached.
   double OwnTokens() const {
     return parts.empty() ? tokens_in : parts.back().tokens;
   }
--- a/packages/routing/include/gentianroute/routing/prompt_cache.h
+++ b/packages/routing/include/gentianroute/routing/prompt_cache.h
@@ -9,18 +9,21 @@
 
 namespace gentianroute::routing {
 
-/// @brief Shared parts of prompts that one model server has read for requests
-/// of this daemon, and keeps until they are the least recently last_used.
+/// @brief Model of a model server's prefix cache: the shared prompt parts that
+/// the server has prefilled for requests of this daemon, with
+/// least-recently-used eviction.
 ///
-/// It ends with the server's incarnation. What other daemons sent there is not
-/// in it; by the homes of subjects, it is mostly the same.
+/// Lives as long as the server's incarnation. Prompts sent by other daemons are
+/// unknown, but all daemons send a subject to the same server, so the cached
+/// parts are mostly the same.
 class PromptCache {
  public:
-  /// @brief Tokens of the shared parts that have to be read: those from the
-  /// first on that is not kept.
+  /// @brief Number of tokens of shared parts that are not cached. All parts
+  /// after the first uncached one count as uncached.
   double UncachedSharedTokens(const Prompt& prompt) const;
-  /// @brief The server has read a prompt.
-  /// @param capacity tokens that it can keep; older parts go beyond that
+  /// @brief Records that the server has prefilled a prompt.
+  /// @param capacity of the cache in tokens; the oldest parts beyond it are
+  /// evicted
   void OnPrefill(TimePoint now, const Prompt& prompt, double capacity);
 
  private:
--- a/packages/routing/include/gentianroute/routing/request_weight.h
+++ b/packages/routing/include/gentianroute/routing/request_weight.h
@@ -8,17 +8,17 @@
 
 namespace gentianroute::routing {
 
-/// @brief What a generation is worth against the mean of its route.
+/// @brief Value of a generation relative to the mean of its route.
 ///
-/// The callers of long prompts have put more into them, and lose more when they
-/// are the ones that step back in a burst; without this they always are, since
-/// they take the most of the servers' time.
+/// Value grows with the prompt size. Otherwise requests with long prompts would
+/// always be displaced first under overload, since they need the most server
+/// time; their callers have put more work into them.
 class RequestWeights {
  public:
-  /// @param tokens_in of the prompt
-  /// @return 1 for the mean prompt of the route, as seen so far
+  /// @param tokens_in size of the prompt
+  /// @return 1 for a prompt of the mean size of the route so far
   double Of(std::string_view route, double tokens_in) {
-    /// Share of the worth that does not depend on the size.
+    /// Share of the value that does not depend on the size.
     constexpr double kFixedShare = 0.3;
     constexpr double kMaxWeight = 4.0;
     double& mean = MeanOf(route, tokens_in);
@@ -27,7 +27,7 @@
   }
 
  private:
-  /// The running mean, this prompt included.
+  /// The moving average, including this prompt.
   double& MeanOf(std::string_view route, double tokens_in) {
     constexpr double kNewestWeight = 0.02;
     const auto found = means_.find(route);
--- a/packages/routing/include/gentianroute/routing/scheduler_rank.h
+++ b/packages/routing/include/gentianroute/routing/scheduler_rank.h
@@ -6,19 +6,19 @@
 
 namespace gentianroute::routing {
 
-/// @brief How well a daemon suits to schedule the servers of a stage service in
-/// a data centre; the highest of those alive does it.
+/// @brief Suitability of a daemon as the scheduler of a stage service in a data
+/// centre. The live daemon with the highest rank is the scheduler.
 ///
-/// Each daemon ranks all of them by itself, by what all know alike, so that
-/// they agree without asking each other.
+/// Every daemon computes all ranks from the same data, so that they agree
+/// without communication.
 struct SchedulerRank {
-  /// The link to the servers is the shortest.
+  /// In the data centre of the servers, which keeps round trips short.
   bool is_beside_servers = false;
-  /// A call of a full pool names hundreds of results, tens of kilobytes. A
-  /// daemon with an eighth of a core takes milliseconds over it, in which its
-  /// servers wait.
+  /// A call from a full pool names hundreds of results and takes tens of
+  /// kilobytes. A daemon with an eighth of a core needs milliseconds to build
+  /// it, during which the servers are idle.
   double processor_share = 0;
-  /// Spreads services over daemons that are alike.
+  /// Spreads services over equally suitable daemons.
   std::uint64_t hash = 0;
 
   auto operator<=>(const SchedulerRank&) const = default;
--- a/packages/routing/include/gentianroute/routing/server.h
+++ b/packages/routing/include/gentianroute/routing/server.h
@@ -13,28 +13,26 @@
 
 namespace gentianroute::routing {
 
-/// @brief A backend server as it stands in the host list.
+/// @brief A backend server as described by its entry in the host list.
 struct ServerRecord {
   std::string id;
   std::string service;
-  std::string address;  ///< IP number
+  std::string address;  ///< IP address
   std::uint16_t port = 0;
   std::string data_centre;
   std::uint32_t slots = 1;
   bool leaving = false;
-  Duration warm_up_left{};  ///< it is slow for this much longer
-  std::int64_t started_at_unix_ms =
-      0;  ///< start of this incarnation, Unix ms; 0: unknown
+  Duration warm_up_left{};              ///< remaining time of slow answers
+  std::int64_t started_at_unix_ms = 0;  ///< 0 if unknown
 
   friend bool operator==(const ServerRecord&, const ServerRecord&) = default;
 };
 
-/// @brief ServiceTime that daemons have at one server.
+/// @brief Load that daemons have placed on one server.
 struct ServerLoad {
-  double calls = 0;   ///< requests sent and not ended
-  double tokens = 0;  ///< prompt_cache that they will take, in tokens
-  double pending_prefill_tokens =
-      0;  ///< of prompts whose first event is awaited
+  double calls = 0;   ///< requests in flight
+  double tokens = 0;  ///< memory that these requests need, in tokens
+  double pending_prefill_tokens = 0;  ///< in prompts without a first event
 
   ServerLoad& operator+=(const ServerLoad& other) {
     calls += other.calls;
@@ -50,19 +48,19 @@
   }
 };
 
-/// @brief How a server has answered lately, as seen from here.
+/// @brief Recent behaviour of a server as observed by this daemon.
 ///
-/// A server can fail part of its requests, or turn slow, while its health check
-/// passes. Only its answers show it, so they are what counts; old ones fade, so
-/// that a server which has recovered is tried again.
+/// A server can fail a share of its requests or slow down while its health
+/// check passes, so only its answers are judged. Old observations decay, so
+/// that a recovered server is tried again.
 class ServerHistory {
  public:
-  /// Weight of the newest answer in the running means.
+  /// Weight of the newest answer in the moving averages.
   static constexpr double kNewestWeight = 0.2;
-  /// A mean loses half of its distance from "well" in this time.
+  /// Time in which an average moves half-way back to that of a healthy server.
   static constexpr double kHalfLifeSeconds = 3.0;
 
-  /// Bounds on what one answer says of a server's slowness.
+  /// Bounds on the slowness taken from one answer.
   static constexpr double kMinSlowness = 0.3;
   static constexpr double kMaxSlowness = 10.0;
 
@@ -75,7 +73,8 @@
       consecutive_failures_ = 0;
     }
   }
-  /// @brief A connection was refused or broke: the server may be gone.
+  /// @brief Records a refused or broken connection, or silence: the server may
+  /// be down, and is avoided for a time that doubles with each failure.
   void OnConnectionFailure(TimePoint now) {
     constexpr std::uint32_t kMaxDoublings = 4;
     constexpr Duration kFirstBackoff = std::chrono::milliseconds(300);
@@ -91,7 +90,7 @@
   double FailureRate(TimePoint now) const {
     return failure_rate_ * DecayFactor(now);
   }
-  /// @return time of an answer against what was expected; 1 is as expected
+  /// @return ratio of actual to expected answer time
   double Slowness(TimePoint now) const {
     return 1.0 + (slowness_ - 1.0) * DecayFactor(now);
   }
@@ -113,8 +112,8 @@
   TimePoint avoid_until_{};
 };
 
-/// @brief One incarnation of a backend server. Calls in flight hold it by
-/// count, so it outlives its place in the list.
+/// @brief One incarnation of a backend server. Reference-counted, since calls
+/// in flight may outlive its entry in the host list.
 class Server
     : public boost::intrusive_ref_counter<Server,
                                           boost::thread_unsafe_counter> {
@@ -123,7 +122,7 @@
 
   const ServerRecord& record() const { return record_; }
   void SetRecord(ServerRecord record) { record_ = std::move(record); }
-  /// @brief Whether it may get new work.
+  /// @brief Whether it may receive new work.
   bool open() const { return listed_ && !record_.leaving; }
   bool listed() const { return listed_; }
   void Unlist() { listed_ = false; }
@@ -142,8 +141,8 @@
   PromptCache& prompt_cache() { return prompt_cache_; }
   const PromptCache& prompt_cache() const { return prompt_cache_; }
 
-  /// @brief Bytes of an answer came from it. One slow answer says little of a
-  /// server that is heard otherwise.
+  /// @brief Records that bytes of any answer arrived. A server that sends to
+  /// other callers is up, even if one answer is slow.
   void OnBytesReceived(TimePoint now) { last_received_ = now; }
   bool HasReceivedSince(TimePoint then) const { return last_received_ >= then; }
 
@@ -151,7 +150,7 @@
   ServerRecord record_;
   bool listed_ = true;
   ServerLoad own_;
-  ServerLoad peers_;  ///< as the peers told last
+  ServerLoad peers_;  ///< as last reported by the peers
   ServerHistory history_;
   PromptCache prompt_cache_;
   TimePoint last_received_{};
--- a/packages/routing/include/gentianroute/routing/server_choice.h
+++ b/packages/routing/include/gentianroute/routing/server_choice.h
@@ -15,35 +15,37 @@
 
 namespace gentianroute::routing {
 
-/// @brief Why a server was taken, for the log.
+/// @brief A chosen server and its score, which is logged.
 struct ServerChoice {
-  ServerPtr server;  ///< null if none may be used
+  ServerPtr server;  ///< null if no server can be used
   double score_ms = 0;
 };
 
-/// @brief Picks the server of a plain service that should answer first.
+/// @brief Chooses the server of a plain service with the shortest estimated
+/// answer time.
 ///
-/// Answers for spikes at one service and for servers that turn slow or fail
-/// part of their requests while their health check passes.
-/// @param tried ids of servers that this request has been sent to
+/// Accounts for load spikes, and for servers that slow down or fail a share of
+/// their requests while their health check passes.
+/// @param tried ids of servers that this request has already been sent to
 ServerChoice ChoosePlainServer(TimePoint now,
                                std::span<const ServerPtr> servers,
                                std::span<const std::string> tried,
                                const ServiceTimeEstimate& estimate,
                                const Topology& topology);
 
-/// @brief How many calls' work a call at a plain server waits for, its
-/// own_prefill included, if it goes there now.
+/// @brief Time of a new call at a plain server, including its wait for a slot,
+/// as a multiple of the service time.
 double WavesAt(const Server& server);
 
-/// @brief Picks the model server that should send its first event first.
+/// @brief Chooses the model server with the shortest estimated time to the
+/// first event.
 ///
-/// Requests about one subject share most of their prompt. Every daemon ranks
-/// the servers for a subject by the same hash, so they send it to the same one
-/// without asking each other; what that server has prefill_queue is not
-/// prefill_queue again. A server with a queue of prompts loses by the time that
-/// the queue takes.
-/// @param inputs results of stages that the server has to fetch
+/// Requests about one subject share most of their prompt. All daemons rank the
+/// servers for a subject by the same rendezvous hash, so that its requests
+/// reach the same server, its home, without coordination, and hit that server's
+/// prompt cache. Queued prompts count against a server with the time that their
+/// prefill takes.
+/// @param inputs stage results that the server has to fetch
 ServerChoice ChooseModelServer(TimePoint now,
                                std::span<const ServerPtr> servers,
                                std::span<const std::string> tried,
--- a/packages/routing/include/gentianroute/routing/server_directory.h
+++ b/packages/routing/include/gentianroute/routing/server_directory.h
@@ -11,39 +11,40 @@
 
 namespace gentianroute::routing {
 
-/// @brief The backend servers that are known, by service.
+/// @brief The known backend servers, by service.
 class ServerDirectory {
  public:
-  /// Entries that expired while the store was away are written again within
-  /// about this time after its return, if their servers live.
+  /// Live servers renew entries that expired during a store outage within about
+  /// this time after its end.
   static constexpr Duration kReregistrationGrace = std::chrono::seconds(2);
 
-  /// @brief Adds or changes one server; another start of it replaces it.
+  /// @brief Adds or updates a server. A new incarnation replaces the old one.
   void Put(ServerRecord record);
-  /// @brief The entry is gone from the list.
+  /// @brief Handles the removal of an entry from the host list.
   ///
-  /// While the store was away nobody could renew an entry, so a living server's
-  /// may lapse: taking it out at once would empty whole services. Within
-  /// `kReregistrationGrace` of the store's return it stays, and goes after
-  /// that.
+  /// Entries can't be renewed during a store outage, so those of live servers
+  /// may expire, and removing them at once would empty whole services. An entry
+  /// removed within `kReregistrationGrace` of the end of an outage is therefore
+  /// kept until that time is over.
   void Remove(TimePoint now, std::string_view id);
-  /// @brief The whole list; what is not in it is removed.
+  /// @brief Replaces the whole list; servers missing from it are removed.
   void Replace(TimePoint now, std::vector<ServerRecord> records);
-  /// @brief The store answers again after a time of silence.
+  /// @brief Records that the store answers again after an outage.
   void OnStoreRecovered(TimePoint now) { store_recovered_at_ = now; }
   bool has_store_recovered() const {
     return store_recovered_at_ != kNeverRecovered;
   }
-  /// @brief Drops entries whose time to be written again is over.
+  /// @brief Drops removed entries that were not renewed in time.
   void Expire(TimePoint now);
 
-  /// @return the servers of a service that are listed, leaving ones too
+  /// @return the listed servers of a service, including those that are leaving
   const std::vector<ServerPtr>& ServersOf(std::string_view service) const;
   Server* Find(std::string_view id) const;
   std::size_t size() const { return by_id_.size(); }
   void ForEach(const std::function<void(Server&)>& visit) const;
 
-  /// @brief Called for a server that left the list or began to leave.
+  /// @brief Sets the callback for servers that were removed or started to
+  /// leave.
   void SetOnClosed(std::function<void(Server&)> callback) {
     on_closed_ = std::move(callback);
   }
--- a/packages/routing/include/gentianroute/routing/service_time_estimate.h
+++ b/packages/routing/include/gentianroute/routing/service_time_estimate.h
@@ -9,53 +9,56 @@
 
 namespace gentianroute::routing {
 
-/// @brief How fast the servers of one service are, learnt from their answers.
+/// @brief Estimates of the speed of the servers of one service, learned from
+/// their answers.
 ///
-/// Deployments differ by an order of magnitude in what their servers read and
-/// answer. An expectation that is too short takes a long prompt for a silent
-/// server; one that is too long waits for a server that is gone.
+/// Servers of different deployments differ by an order of magnitude. If the
+/// estimate is too low, a server that processes a long prompt is mistaken for
+/// an unresponsive one; if it is too high, failed servers are detected too
+/// late.
 ///
-/// Each answer moves the figures by a bounded share of its logarithmic error,
-/// so a few odd answers move them little and figures that are ten times off are
-/// right after some twenty answers.
+/// Each answer changes the estimates by a bounded share of its logarithmic
+/// error, so that single outliers have little effect and estimates that are off
+/// by a factor of ten are corrected within about twenty answers.
 class ServiceTimeEstimate {
  public:
-  /// @brief Time that a plain service's server takes for a call.
+  /// @brief Time that a server of a plain service takes for one call.
   Duration ServiceTime() const { return FromMilliseconds(service_ms_); }
-  /// @brief Time until the first event of a generation.
-  /// @param prefill_tokens tokens that the server reads before, other requests'
-  /// too
+  /// @brief Time to the first event of a generation.
+  /// @param prefill_tokens tokens to prefill before it, including those of
+  /// queued requests
   Duration TimeToFirstEvent(double prefill_tokens) const {
     return ServiceTime() + PrefillTime(prefill_tokens);
   }
-  /// @brief Time that a model server takes to read so many tokens.
+  /// @brief Time that a model server takes to prefill so many tokens.
   Duration PrefillTime(double tokens) const {
     return FromMilliseconds(tokens * prefill_token_ms_);
   }
-  /// @brief Time from the first event of a generation to its last.
+  /// @brief Time from the first to the last event of a generation.
   Duration StreamTime() const { return FromMilliseconds(stream_ms_); }
-  /// @brief Time that a model server takes to make so many tokens.
+  /// @brief Time that a model server takes to decode so many tokens.
   Duration DecodeTime(double tokens) const {
     return FromMilliseconds(tokens * decode_token_ms_);
   }
 
-  /// @param waves how many calls' work the call waited for, its own included
+  /// @param waves as returned by WavesAt() when the call was sent
   void OnAnswer(double waves, Duration taken);
   /// @param prefill_tokens as for TimeToFirstEvent()
   void OnFirstEvent(double prefill_tokens, Duration taken);
-  /// @param tokens that the caller expected; right for half of the callers
+  /// @param tokens number expected by the caller; right for about half of the
+  /// callers
   void OnStreamEnd(double tokens, Duration taken);
 
  private:
-  /// Safe starts: rather too slow, so that nothing is taken for silent before
-  /// the first answers are seen.
+  /// Initial values are on the slow side, so that no server is taken for
+  /// unresponsive before the first answers have been seen.
   double service_ms_ = 50.0;
   double prefill_token_ms_ = 0.02;
   double stream_ms_ = 1000.0;
   double decode_token_ms_ = 5.0;
 };
 
-/// @brief The paces of all services.
+/// @brief The estimates of all services.
 class ServiceTimeEstimates {
  public:
   ServiceTimeEstimate& Of(std::string_view service) {
--- a/packages/routing/include/gentianroute/routing/stage_plan.h
+++ b/packages/routing/include/gentianroute/routing/stage_plan.h
@@ -17,31 +17,31 @@
   std::vector<std::string> results;
 };
 
-/// @brief How far one request has come in its graph of stages.
+/// @brief Progress of one request through its graph of stages.
 ///
-/// A result dies with the server that made it, so a stage may have to be made
-/// again; everything that needs no remaking stays.
+/// A result is lost with the server that holds it, in which case its stage is
+/// run again. Results that are still available are kept.
 class StagePlan {
  public:
-  /// @param pieces of each stage; 0: the request does without it
+  /// @param pieces number of pieces of each stage; 0 if the request skips it
   StagePlan(std::span<const StageSpec> stages,
             std::span<const std::uint32_t> pieces);
 
-  /// @brief Stages whose inputs are there, that have not begun, and whose
-  /// results will soon be read.
+  /// @brief Returns the stages to start now: not started, inputs complete, and
+  /// results needed soon.
   ///
-  /// A result takes up room at its maker until it is read. A stage beside a
-  /// longer chain would be done long before that chain, and its large results
-  /// would fill its servers meanwhile; so it begins with the chain's last
-  /// stages.
-  /// @complexity quadratic in the stages, of which there are few
+  /// A result occupies storage at its server until it is read. A stage parallel
+  /// to a longer chain would finish long before the chain and its results would
+  /// fill the server; it is therefore delayed until it is no shorter than the
+  /// longest remaining chain.
+  /// @complexity quadratic in the number of stages, which is small
   std::vector<std::uint32_t> Ready() const;
   void Start(std::uint32_t stage);
   void Finish(std::uint32_t stage, std::vector<std::string> results);
-  /// @brief An input of a stage, or of the request's own call, is gone: all
-  /// that it needs is made again.
-  /// @param stage number of stages: the request's own call
-  /// @return results that are of no more use
+  /// @brief Handles the loss of an input of a stage or of the request's own
+  /// call: schedules all stages that it depends on to run again.
+  /// @param stage index of the stage, or stages() for the request's own call
+  /// @return results that are no longer needed
   std::vector<StageResults> RecomputeInputs(std::uint32_t stage);
 
   /// @brief Whether all stages are done.
@@ -52,10 +52,10 @@
   std::vector<std::uint32_t> FinalStages() const;
   /// @brief Results that the request's own call reads.
   std::vector<std::string> FinalInputs() const;
-  /// @brief Takes out the results that no unfinished stage will read; those
-  /// that the request's own call reads stay.
+  /// @brief Removes and returns the results that no unfinished stage reads,
+  /// except those that the request's own call reads.
   std::vector<StageResults> TakeUnneeded();
-  /// @brief Takes out all results, at the end of a request.
+  /// @brief Removes and returns all results, at the end of a request.
   std::vector<StageResults> TakeAll();
 
   std::uint32_t pieces(std::uint32_t stage) const {
@@ -63,9 +63,10 @@
   }
   std::size_t stages() const { return nodes_.size(); }
   const StageSpec& spec(std::uint32_t stage) const { return specs_[stage]; }
-  /// @brief The longest chain of stages that read this one, by a weight of
-  /// each; stages that the request does without weigh nothing.
-  /// @param weight of a StageSpec; its type is that of the result
+  /// @brief Total weight of the heaviest chain of stages that depend on this
+  /// one. Skipped stages have no weight.
+  /// @param weight function from a StageSpec to its weight, which sets the
+  /// return type
   template <typename Weight>
   auto LongestChainAfter(std::uint32_t stage, const Weight& weight) const
       -> decltype(weight(StageSpec{})) {
@@ -88,10 +89,10 @@
   };
 
   static bool Reads(const StageSpec& reader, std::uint32_t stage);
-  /// Stages in the longest chain that begins with this one.
+  /// Number of stages in the longest chain that starts with this one.
   std::uint32_t ChainLength(std::uint32_t stage) const;
   bool IsRead(std::uint32_t stage) const;
-  /// Stages in the longest chain that is still to be done.
+  /// Number of stages in the longest chain with an unfinished first stage.
   std::uint32_t LongestRemainingChain() const;
   bool HasUnfinishedReader(std::uint32_t stage) const;
 
--- a/packages/routing/include/gentianroute/routing/topology.h
+++ b/packages/routing/include/gentianroute/routing/topology.h
@@ -9,10 +9,10 @@
 
 namespace gentianroute::routing {
 
-/// @brief Which data centre lies where, and what a round trip to it takes.
+/// @brief Regions of the data centres and the round-trip times between them.
 class Topology {
  public:
-  /// Round trips as the deployments' sheets state the links.
+  /// Round-trip times of the links in the reference deployments.
   static constexpr Duration kInDataCentre = std::chrono::microseconds(400);
   static constexpr Duration kInRegion = std::chrono::milliseconds(1);
   static constexpr Duration kBetweenRegions = std::chrono::milliseconds(40);
--- a/packages/routing/src/event_framer.cc
+++ b/packages/routing/src/event_framer.cc
@@ -8,7 +8,7 @@
 
 constexpr std::string_view kIdField = "id:";
 
-/// Position behind the last empty line; 0 if there is none.
+/// Position after the last empty line; 0 if there is none.
 std::size_t EndOfWholeEvents(std::string_view text) {
   std::size_t end = 0;
   for (const std::string_view blank : {"\n\n", "\n\r\n"}) {
--- a/packages/routing/src/pool_choice.cc
+++ b/packages/routing/src/pool_choice.cc
@@ -7,7 +7,7 @@
 namespace gentianroute::routing {
 namespace {
 
-/// An answer that is late costs its caller more than any results that cross.
+/// A late answer costs more than any transfer between data centres.
 constexpr double kLatePenaltyMs = 5000.0;
 
 double ScoreMs(const PoolState& pool,
@@ -90,7 +90,7 @@
       continue;
     }
     PoolState state = entry.state;
-    // Each server works off one second of backlog in a second.
+    // Each server completes one second of backlog each second.
     const Duration completed =
         (now - entry.reported) * std::max<std::int64_t>(1, state.servers);
     const Duration change = entry.submitted - completed;
--- a/packages/routing/src/server_choice.cc
+++ b/packages/routing/src/server_choice.cc
@@ -10,16 +10,16 @@
 namespace gentianroute::routing {
 namespace {
 
-/// A failed call costs about a second call and the caller's patience.
+/// Expected cost of a failure: a second call and the delay for the caller.
 constexpr double kFailureCostMs = 600.0;
-/// What one running stream adds to the first event of the next, as a share of
-/// what it takes at an idle server.
+/// Increase of the time to the first event by each running stream, as a share
+/// of the time at an idle server.
 constexpr double kStreamDelayShare = 0.006;
-/// A server that broke a connection just now is taken only if all others were
-/// refused; it must lose against any queue, and win against nothing at all.
+/// Large enough that a server with a recent connection failure is used only if
+/// no other server can be, whatever their queues.
 constexpr double kAvoidedPenaltyMs = 5000.0;
-/// Kept against leaving a subject's home beside the prefill_ms itself: a small
-/// change of load must not split a subject excess_calls two servers.
+/// Added to the prefill time for every server but the home of a subject, so
+/// that small changes of load do not split a subject over two servers.
 constexpr double kNotHomePenaltyMs = 15.0;
 constexpr double kRankStepMs = 1.5;
 
@@ -35,13 +35,14 @@
 }
 
 double WarmUpPenaltyMs(const Server& server) {
-  // It is slow, not shut: a tenth of the time left is what it costs a call.
+  // A warming-up server is slow but usable; a call is expected to lose a tenth
+  // of the remaining warm-up time.
   constexpr double kShare = 0.1;
   return kShare * Milliseconds(server.record().warm_up_left);
 }
 
-/// The best of the servers that may be used, by a score in milliseconds of
-/// the server at a position.
+/// The usable server with the lowest score. The score is in milliseconds and
+/// takes the position of a server.
 template <typename Score>
 ServerChoice BestServer(std::span<const ServerPtr> servers,
                         std::span<const std::string> tried,
@@ -72,7 +73,8 @@
          WarmUpPenaltyMs(server);
 }
 
-/// Rank of each server in the hash of a subject, by position; 0 is its home.
+/// Rank of each server in the rendezvous hash of a subject, by position; the
+/// home has rank 0.
 std::vector<std::size_t> Ranks(std::span<const ServerPtr> servers,
                                const PromptPart& subject) {
   std::vector<std::pair<std::uint64_t, std::size_t>> places;
@@ -89,10 +91,10 @@
   return ranks;
 }
 
-/// What each server has to prefill_queue again of the shared parts, by
-/// position: nothing at the subject's home, nor where this daemon had it
-/// prefill_queue before. A small stream_delay a rank keeps the second choice
-/// the same in all eyes.
+/// Time to prefill the shared parts that each server lacks, by position. None
+/// at the home of the subject, nor where this daemon has sent these parts
+/// before. A small penalty for each rank makes all daemons prefer the same
+/// second choice.
 std::vector<double> SharedPrefillMs(std::span<const ServerPtr> servers,
                                     const Prompt& prompt,
                                     const ServiceTimeEstimate& estimate) {
@@ -135,8 +137,7 @@
   const double memory_excess =
       memory_tokens > 0 ? std::max(0.0, needed_tokens / memory_tokens - 1.0)
                         : 0.0;
-  // A request without a slot or prompt_cache waits for another one's whole
-  // stream_time.
+  // A request that gets no slot or memory waits for another one to end.
   const double stream_time = Milliseconds(estimate.StreamTime());
   const double own_prefill =
       Milliseconds(estimate.TimeToFirstEvent(prompt.OwnTokens()));
--- a/packages/routing/src/service_time_estimate.cc
+++ b/packages/routing/src/service_time_estimate.cc
@@ -6,11 +6,12 @@
 namespace gentianroute::routing {
 namespace {
 
-/// Share of an answer's logarithmic error by which it moves a figure.
+/// Share of the logarithmic error of an answer that is applied to an estimate.
 constexpr double kLearningRate = 0.25;
-/// Bound on the error of one answer, as a logarithm: a factor of 4.5.
+/// Bound on the logarithmic error of one answer; corresponds to a factor of
+/// 4.5.
 constexpr double kMaxLogError = 1.5;
-/// Bounds on what is learnt; beyond them lies no server.
+/// Bounds on the estimates; no real server lies outside of them.
 constexpr double kMinServiceMs = 0.5;
 constexpr double kMaxServiceMs = 20'000.0;
 constexpr double kMinPrefillTokenMs = 1e-5;
@@ -39,7 +40,7 @@
   const double prefill_ms = prefill_tokens * prefill_token_ms_;
   const double expected_ms = service_ms_ + prefill_ms;
   const double error = LogError(taken, expected_ms);
-  // Each part takes as much of the error as it has of the expectation.
+  // The error is split in proportion to the two parts of the expected time.
   const double prefill_share = prefill_ms / expected_ms;
   prefill_token_ms_ = Adjusted(prefill_token_ms_, error * prefill_share,
                                kMinPrefillTokenMs, kMaxPrefillTokenMs);
--- a/packages/routing/src/stage_plan.cc
+++ b/packages/routing/src/stage_plan.cc
@@ -62,7 +62,7 @@
     }
     nodes_[i].state = State::kWaiting;
     MoveInto(discarded, i, nodes_[i].results);
-    // Its own inputs are spent by now.
+    // The inputs of that stage have been released by now.
     std::vector<StageResults> deeper = RecomputeInputs(i);
     std::move(deeper.begin(), deeper.end(), std::back_inserter(discarded));
   }
--- a/packages/routing/tests/answer_watch_test.cc
+++ b/packages/routing/tests/answer_watch_test.cc
@@ -32,9 +32,9 @@
 
 }  // namespace
 
-// The caller of a long prompt waits while its server reads it, which takes
-// longer than half of the target with nothing wrong. Sent elsewhere, the prompt
-// is read from its start, and the answer comes later still.
+// The prefill of a long prompt takes longer than half of the target on a
+// healthy server. At another server it would start again, and the answer would
+// come later.
 Test(answer_watch, longest_prompt_is_left_where_it_is_read) {
   const ServiceTimeEstimate estimate = EstimateOf(80, 93);
   const Duration reading = estimate.TimeToFirstEvent(90'000);
@@ -42,8 +42,8 @@
   cr_assert_gt(FirstByteOverdueAfter(StreamRoute(), reading), reading * 2);
 }
 
-// The server is dark: nothing comes back on any connection. The request must
-// leave it while its caller still waits, and others must not go there.
+// The server is unreachable and sends nothing on any connection. The request
+// must move on while its caller still waits, and the server must be avoided.
 Test(answer_watch, dark_server_is_left_in_time_and_avoided) {
   const ServiceTimeEstimate estimate = EstimateOf(80, 93);
   const Route route = StreamRoute();
@@ -55,8 +55,9 @@
   cr_assert(server->history().IsAvoided(kStart + wait));
 }
 
-// The server is five times slowed, and streams to others all the while. Its
-// requests leave it, but what it keeps and has begun is not given up.
+// The server runs at a fifth of its speed but streams to other callers. Overdue
+// requests move on, but the server stays in use and its other requests are not
+// aborted.
 Test(answer_watch, slowed_server_is_left_and_stays_in_use) {
   const ServiceTimeEstimate estimate = EstimateOf(80, 93);
   const Duration expected = estimate.TimeToFirstEvent(17'000);
@@ -69,8 +70,8 @@
   cr_assert_gt(server->history().Slowness(kStart + wait), 1.0);
 }
 
-// A plain call that takes 15 ms is not doubled at the first queue: until half
-// of its target is over nothing is lost.
+// A plain call of 15 ms is not repeated as soon as it queues: it can still be
+// on time until half of its target has passed.
 Test(answer_watch, short_call_waits_for_half_of_its_target) {
   Route route;
   route.target = 200 * kMs;
--- a/packages/routing/tests/directory_test.cc
+++ b/packages/routing/tests/directory_test.cc
@@ -27,8 +27,8 @@
   cr_assert_not(servers.Find("a")->open());
 }
 
-// A server starts again under its old id: it holds nothing of before, so what
-// was known of the earlier start must not count for it.
+// A restarted server keeps its id but has lost its state, so nothing recorded
+// for the earlier incarnation may apply to it.
 Test(server_directory, another_start_is_another_server) {
   ServerDirectory servers;
   servers.Put(Record("a", 1));
@@ -57,9 +57,9 @@
   cr_assert(servers.ServersOf("stage").empty());
 }
 
-// The store was away, nobody could renew an entry, and a living server's has
-// lapsed: callers would be told that no server exists. It is written again
-// within two seconds of the store's return.
+// Entries of live servers expire during a store outage because they can't be
+// renewed. Dropping them at once would leave callers without a server; servers
+// register again within two seconds of the end of the outage.
 Test(server_directory, lapsed_server_stays_until_it_had_time_to_return) {
   ServerDirectory servers;
   servers.Put(Record("a"));
--- a/packages/routing/tests/drain_times_test.cc
+++ b/packages/routing/tests/drain_times_test.cc
@@ -21,9 +21,9 @@
   cr_assert(kDrain.CanAccept(kStart + 2500 * kMs, std::chrono::seconds(9)));
 }
 
-// The caller sends a chat on a connection that it has had open, 4.5 s after the
-// stop. Its answer takes 3 s and more, and the process ends_at 3 s later: the
-// caller would see half of it. Refused, it gets all of it from another daemon.
+// A chat request arrives on an open connection 4.5 s after the stop signal. Its
+// answer may take longer than the 3 s until the process ends, so it would be
+// cut; it is refused, and another daemon can serve it in full.
 Test(drain_times, late_request_that_may_outlast_the_daemon_is_refused) {
   cr_assert_not(kDrain.CanAccept(kStart + 4600 * kMs, 2900 * kMs));
 }
--- a/packages/routing/tests/event_framer_test.cc
+++ b/packages/routing/tests/event_framer_test.cc
@@ -10,8 +10,8 @@
   cr_assert(framer.last_id() == "1");
 }
 
-// A server breaks off in the middle of an event and another goes on behind the
-// last whole one: the caller must not get the event in two halves.
+// A server fails in the middle of an event and another one resumes after the
+// last complete event. The caller must not get an event assembled from both.
 Test(event_framer, half_an_event_is_kept_back) {
   EventFramer framer;
   cr_assert(framer.Feed("id: 1\ndata: a\n\nid: 2\nda") == "id: 1\ndata: a\n\n");
--- a/packages/routing/tests/pool_choice_test.cc
+++ b/packages/routing/tests/pool_choice_test.cc
@@ -27,8 +27,8 @@
   cr_assert_str_eq(pool->data_centre.c_str(), "north");
 }
 
-// A burst comes to the data centre with the fewest servers; its work spills to
-// another region once the wait is longer than the way.
+// A burst reaches the data centre with the fewest servers. Work goes to another
+// region once the wait is longer than the round trip.
 Test(pool_choice, burst_spills_to_another_region) {
   const std::vector<PoolState> pools = {
       Pool("south", 2, {}), Pool("north", 1, std::chrono::seconds(1))};
@@ -48,9 +48,9 @@
       "south");
 }
 
-// Load: chains of stages whose last one is wide. Each of its pieces fetches all
-// results of the stage before, so a group that follows a small difference of
-// backlog to another data centre moves many times the results' size.
+// The last stage of a chain has many pieces, each of which fetches all results
+// of the stage before. Moving the group to another data centre for a small
+// difference in backlog would transfer a multiple of the size of the results.
 Test(pool_choice, group_of_many_pieces_stays_with_what_each_of_them_reads) {
   constexpr double kResultBytes = 60e3;
   constexpr std::uint32_t kResults = 6;
@@ -69,10 +69,9 @@
       "south");
 }
 
-// Load: a burst of requests with large results, all with their reader in one
-// data centre. Its servers have a queue of more than the requests have time_ms,
-// and those of the others are free; bytes that cross cost less than late
-// answers.
+// A burst of requests with large results that are read in one data centre. The
+// queue there is longer than the time left, and servers elsewhere are idle; the
+// transfer costs less than late answers.
 Test(pool_choice, large_results_cross_where_their_request_would_be_late) {
   const std::vector<PoolState> pools = {Pool("south", 1, 900 * kMs),
                                         Pool("north", 1, {})};
--- a/packages/routing/tests/prompt_cache_test.cc
+++ b/packages/routing/tests/prompt_cache_test.cc
@@ -28,7 +28,7 @@
   cr_assert_eq(cache.UncachedSharedTokens(PromptAbout("b")), 3800);
 }
 
-// A part is kept only together with all parts before it.
+// A part is cached only together with all parts before it.
 Test(prompt_cache, part_behind_an_unknown_one_is_read) {
   PromptCache cache;
   cache.OnPrefill(kStart, PromptAbout("a"), 1e6);
--- a/packages/routing/tests/scheduler_rank_test.cc
+++ b/packages/routing/tests/scheduler_rank_test.cc
@@ -10,9 +10,9 @@
   cr_assert(strong < near);
 }
 
-// Load: many small daemons and a few larger ones in each data centre, and
-// stages whose calls name hundreds of results. With a small daemon as their
-// scheduler the servers idle while it puts the next call together.
+// Each data centre has many small daemons and a few larger ones, and calls name
+// hundreds of results. With a small daemon as the scheduler the servers are
+// idle while it builds the next call.
 Test(scheduler_rank, stronger_daemon_goes_before_one_with_a_higher_hash) {
   const SchedulerRank small{true, 0.125, 9};
   const SchedulerRank strong{true, 0.5, 1};
--- a/packages/routing/tests/server_choice_test.cc
+++ b/packages/routing/tests/server_choice_test.cc
@@ -58,8 +58,8 @@
   cr_assert(choice.server == servers[0]);
 }
 
-// Callers see errors from one server while its health check passes; its
-// own answers are what tells.
+// A server fails requests while its health check passes, so only its answers
+// show the failure.
 Test(server_choice, failing_server_is_avoided_until_its_failures_fade) {
   const std::vector<ServerPtr> servers = {MakeServer("far", "south", 6),
                                           MakeServer("near", "north", 6)};
@@ -106,9 +106,8 @@
   cr_assert_eq(homes.size(), fixture.servers.size());
 }
 
-// One subject gets much of the traffic: its home has prompts in front of it
-// that take longer to prefill_queue than the subject takes to prefill_queue
-// again elsewhere.
+// The prompts queued at the home of a popular subject take longer to prefill
+// than the subject takes at another server.
 Test(server_choice, hot_subject_is_split_once_its_home_has_a_queue) {
   const ModelFixture fixture;
   const Prompt prompt = PromptAbout("hot", "r0");
@@ -126,7 +125,8 @@
   cr_assert(fixture.Choose(prompt) == home);
 }
 
-// A stage's results lie in one data centre and are billed when they cross.
+// Stage results are stored in one data centre, and transfers out of it are
+// billed.
 Test(server_choice, large_results_draw_a_request_whose_subject_is_small) {
   ModelFixture fixture;
   fixture.servers.push_back(MakeServer("s0", "south", 64));
@@ -136,9 +136,9 @@
   cr_assert(fixture.Choose(prompt, inputs) == fixture.servers.back());
 }
 
-// Load: subjects of thousands of tokens beside results of some megabytes. To
-// follow the results reads the subject again, which costs more engine time, and
-// more money, than the crossing.
+// Subjects of thousands of tokens with results of some megabytes: another
+// prefill of the subject costs more engine time and money than the transfer of
+// the results.
 Test(server_choice, large_subject_stays_at_home_beside_results_elsewhere) {
   ModelFixture fixture;
   const Prompt prompt = PromptAbout("subject", "r");
@@ -156,8 +156,8 @@
   cr_assert(fixture.Choose(prompt) != home);
 }
 
-// Load: one subject was split once, because its home had a queue. Requests that
-// follow go back there only if it costs less than the copy that now exists.
+// A subject was split because its home had a queue. Later requests return to
+// the home only if that costs less than using the existing copy.
 Test(server_choice, subject_read_elsewhere_before_is_not_read_again_there) {
   const ModelFixture fixture;
   const Prompt prompt = PromptAbout("hot", "r0");
@@ -171,8 +171,8 @@
   cr_assert(fixture.Choose(prompt) == home);
 }
 
-// Load: a server answers all it gets, five times slower than the others. Its
-// callers would be late; what is learnt from its answers sends them elsewhere.
+// A server answers every request at a fifth of the speed of the others. Its
+// answer times must direct requests elsewhere.
 Test(server_choice, slowed_model_server_loses_its_subjects_for_a_time) {
   const ModelFixture fixture;
   const Prompt prompt = PromptAbout("subject", "r0");
--- a/packages/routing/tests/service_time_estimate_test.cc
+++ b/packages/routing/tests/service_time_estimate_test.cc
@@ -11,7 +11,7 @@
 
 namespace {
 
-/// Servers that need `work` and read `tokens_per_ms`, seen by one daemon.
+/// Servers with a constant service time and prefill rate.
 struct UniformServers {
   double work_ms = 80;
   double tokens_per_ms = 93;
@@ -19,7 +19,7 @@
   Duration TimeToFirstEvent(double prefill_tokens) const {
     return FromMilliseconds(work_ms + prefill_tokens / tokens_per_ms);
   }
-  /// Prompts of a usual mix, one after another.
+  /// Trains with a typical mix of prompt sizes.
   void Train(ServiceTimeEstimate& estimate, int events) const {
     constexpr std::array kUnread = {800.0, 9000.0, 2900.0, 17000.0, 1100.0};
     for (int i = 0; i < events; ++i) {
@@ -36,8 +36,8 @@
 
 }  // namespace
 
-// A daemon sees a few first events a second, so forty are some ten seconds of
-// one daemon's usual load.
+// A daemon sees a few first events per second, so forty take about ten seconds
+// under normal load.
 Test(service_time_estimate, pace_ten_times_slower_is_learnt_from_forty_events) {
   const UniformServers slow{800, 5};
   ServiceTimeEstimate estimate;
--- a/packages/routing/tests/stage_plan_test.cc
+++ b/packages/routing/tests/stage_plan_test.cc
@@ -6,7 +6,8 @@
 
 namespace {
 
-/// The deployments' widest graph: a chain of three, and one stage beside it.
+/// The largest graph of the reference deployments: a chain of three stages and
+/// one parallel stage.
 std::vector<StageSpec> ChatStages() {
   return {{"wide", {}, 3'000'000},
           {"first", {}, 8'000},
@@ -28,8 +29,8 @@
   cr_assert_eq(plan.InputsOf(2), std::vector<std::string>{"a"});
 }
 
-// A large result that waits for a slow chain fills its server meanwhile, and
-// other requests' pieces find no room there.
+// A large result that waits for a slow chain fills the storage of its server,
+// which pieces of other requests need.
 Test(stage_plan, stage_beside_a_chain_begins_with_its_last_stage) {
   const auto stages = ChatStages();
   const std::vector<std::uint32_t> pieces = {2, 1, 8, 16};
@@ -71,9 +72,9 @@
   cr_assert_eq(spent[0].results, std::vector<std::string>{"a"});
 }
 
-// The caller sees a slower answer. A result died with its server after the one
-// before it had been released, so the whole way to it is made again; a stage
-// must never run with a part of its inputs.
+// A result was lost with its server after the inputs of its stage had been
+// released, so the whole chain up to it must run again. A stage must never run
+// with only some of its inputs.
 Test(stage_plan, lost_result_is_made_again_with_all_before_it) {
   const auto stages = ChatStages();
   const std::vector<std::uint32_t> pieces = {0, 1, 1, 1};
