--- a/packages/gateway/src/gateway_peers.cc
+++ b/packages/gateway/src/gateway_peers.cc
@@ -54,7 +54,7 @@
     out[i].setService(std::string(backlogs[i].service));
     out[i].setDataCentre(std::string(backlogs[i].data_centre));
     out[i].setInTimeMs(
-        static_cast<float>(Milliseconds(backlogs[i].backlog.in_time)));
+        static_cast<float>(Milliseconds(backlogs[i].backlog.on_time)));
     out[i].setAllMs(static_cast<float>(Milliseconds(backlogs[i].backlog.all)));
   }
   const auto quarantined = suspects_.Quarantined(now);
--- a/packages/routing/include/gentianroute/routing/deployment.h
+++ b/packages/routing/include/gentianroute/routing/deployment.h
@@ -23,10 +23,8 @@
 /// @brief A stage whose results a request needs before its own call.
 struct StageSpec {
   std::string service;
-  std::vector<std::uint32_t>
-      after;  ///< indexes of the stages whose results it reads
-  std::uint64_t result_bytes =
-      0;  ///< estimated size of the result of one piece
+  std::vector<std::uint32_t> after;  ///< stages whose results it reads
+  std::uint64_t result_bytes = 0;    ///< estimate for one piece
 };
 
 struct WeightedService {
--- a/packages/routing/include/gentianroute/routing/stage_pool.h
+++ b/packages/routing/include/gentianroute/routing/stage_pool.h
@@ -38,7 +38,7 @@
 
 /// @brief Server time needed by queued and running work, summed over servers.
 struct Backlog {
-  Duration in_time{};  ///< groups that can be on time, and running calls
+  Duration on_time{};  ///< groups that can be on time, and running calls
   Duration all{};
 };
 
@@ -185,7 +185,7 @@
                  StageCall& call);
   void FreeStorage(std::string_view server, double bytes);
   void ExpireResults(TimePoint now);
-  bool CanFinishInTime(TimePoint now, const StageGroup& group) const;
+  bool CanFinishOnTime(TimePoint now, const StageGroup& group) const;
   Duration PieceTime(const StageGroup& group) const;
   /// Server time of a group's queued pieces, assuming full calls.
   Duration WaitingTime(const Group& entry) const;
--- a/packages/routing/include/gentianroute/routing/work_order.h
+++ b/packages/routing/include/gentianroute/routing/work_order.h
@@ -20,7 +20,7 @@
 
 /// @brief Orders work to maximise the value that is done on time.
 ///
-/// ServiceTime is ordered by earliest deadline first. Under overload that order
+/// Work is ordered by earliest deadline first. Under overload that order
 /// alone would make everything late. Whenever an item would miss its soft
 /// deadline, the item with the lowest value for its server time is therefore
 /// displaced from those up to it. Late and displaced work follows, by value for
--- a/packages/routing/src/pool_choice.cc
+++ b/packages/routing/src/pool_choice.cc
@@ -36,7 +36,7 @@
                            const PoolWork& work,
                            const StageCapacity& capacity) {
   const Duration wait =
-      pool.backlog.in_time / std::max<std::int64_t>(1, pool.servers);
+      pool.backlog.on_time / std::max<std::int64_t>(1, pool.servers);
   const std::uint32_t in_call = std::min(work.pieces, capacity.batch);
   return wait + capacity.call_overhead + work.piece_time * in_call;
 }
@@ -97,7 +97,7 @@
     const auto current = [change](Duration reported) {
       return std::max(Duration{0}, reported + change);
     };
-    state.backlog = {current(state.backlog.in_time),
+    state.backlog = {current(state.backlog.on_time),
                      current(state.backlog.all)};
     pools.push_back(std::move(state));
   }
--- a/packages/routing/src/stage_pool.cc
+++ b/packages/routing/src/stage_pool.cc
@@ -311,7 +311,7 @@
   OnReleased(old);
 }
 
-bool StagePool::CanFinishInTime(TimePoint now, const StageGroup& group) const {
+bool StagePool::CanFinishOnTime(TimePoint now, const StageGroup& group) const {
   return now + capacity_.TypicalCallTime() <= group.soft_deadline;
 }
 
@@ -471,22 +471,22 @@
 }
 
 Backlog StagePool::BacklogAt(TimePoint now) const {
-  Duration pieces_in_time{0};
+  Duration pieces_on_time{0};
   Duration pieces_late{0};
-  std::size_t in_time = 0;
+  std::size_t on_time = 0;
   for (const auto& [id, entry] : groups_) {
     const Duration time = PieceTime(entry.group) * entry.waiting.size();
-    const bool can = CanFinishInTime(now, entry.group);
-    (can ? pieces_in_time : pieces_late) += time;
-    in_time += can ? entry.waiting.size() : 0;
+    const bool can = CanFinishOnTime(now, entry.group);
+    (can ? pieces_on_time : pieces_late) += time;
+    on_time += can ? entry.waiting.size() : 0;
   }
   const auto calls_for = [this](std::size_t pieces) {
     return capacity_.call_overhead *
            ((pieces + capacity_.batch - 1) / capacity_.batch);
   };
   const Duration running = RunningTime(now);
-  return {running + pieces_in_time + calls_for(in_time),
-          running + pieces_in_time + pieces_late + calls_for(waiting_pieces_)};
+  return {running + pieces_on_time + calls_for(on_time),
+          running + pieces_on_time + pieces_late + calls_for(waiting_pieces_)};
 }
 
 Duration StagePool::NextDispatchDelay() const {
--- a/packages/routing/src/work_order.cc
+++ b/packages/routing/src/work_order.cc
@@ -106,16 +106,16 @@
                                    Duration busy,
                                    std::size_t servers) {
   std::sort(waiting.begin(), waiting.end(), HasEarlierDeadline);
-  FeasibleSchedule in_time(now, busy, servers);
-  std::vector<WaitingWork>& late = in_time.late();
+  FeasibleSchedule on_time(now, busy, servers);
+  std::vector<WaitingWork>& late = on_time.late();
   for (const WaitingWork& work : waiting) {
     if (now + work.min_duration > work.soft_deadline) {
       late.push_back(work);
     } else {
-      in_time.Add(work);
+      on_time.Add(work);
     }
   }
-  std::vector<WaitingWork> order = in_time.TakeScheduled();
+  std::vector<WaitingWork> order = on_time.TakeScheduled();
   std::sort(order.begin(), order.end(), HasEarlierDeadline);
   std::sort(late.begin(), late.end(),
             [now](const WaitingWork& a, const WaitingWork& b) {
--- a/packages/routing/tests/answer_watch_test.cc
+++ b/packages/routing/tests/answer_watch_test.cc
@@ -35,16 +35,17 @@
 // The prefill of a long prompt takes longer than half of the target on a
 // healthy server. At another server it would start again, and the answer would
 // come later.
-Test(answer_watch, longest_prompt_is_left_where_it_is_read) {
+Test(answer_watch, long_prefill_is_not_overdue) {
   const ServiceTimeEstimate estimate = EstimateOf(80, 93);
-  const Duration reading = estimate.TimeToFirstEvent(90'000);
-  cr_assert_gt(reading, StreamRoute().target / 2);
-  cr_assert_gt(FirstByteOverdueAfter(StreamRoute(), reading), reading * 2);
+  const Duration prefill_time = estimate.TimeToFirstEvent(90'000);
+  cr_assert_gt(prefill_time, StreamRoute().target / 2);
+  cr_assert_gt(FirstByteOverdueAfter(StreamRoute(), prefill_time),
+               prefill_time * 2);
 }
 
 // The server is unreachable and sends nothing on any connection. The request
 // must move on while its caller still waits, and the server must be avoided.
-Test(answer_watch, dark_server_is_left_in_time_and_avoided) {
+Test(answer_watch, unreachable_server_is_detected_in_time_and_avoided) {
   const ServiceTimeEstimate estimate = EstimateOf(80, 93);
   const Route route = StreamRoute();
   const Duration wait =
@@ -58,7 +59,7 @@
 // The server runs at a fifth of its speed but streams to other callers. Overdue
 // requests move on, but the server stays in use and its other requests are not
 // aborted.
-Test(answer_watch, slowed_server_is_left_and_stays_in_use) {
+Test(answer_watch, slowed_server_loses_overdue_requests_but_stays_in_use) {
   const ServiceTimeEstimate estimate = EstimateOf(80, 93);
   const Duration expected = estimate.TimeToFirstEvent(17'000);
   const Duration wait = FirstByteOverdueAfter(StreamRoute(), expected);
@@ -78,7 +79,7 @@
   cr_assert_eq(FirstByteOverdueAfter(route, 15 * kMs), 100 * kMs);
 }
 
-Test(answer_watch, stream_may_stutter_but_not_be_silent_for_long) {
+Test(answer_watch, stream_may_pause_but_not_stay_silent) {
   Route route = StreamRoute();
   cr_assert_eq(StreamSilenceTimeout(route), 1000 * kMs);
   route.pause_target = 400 * kMs;
--- a/packages/routing/tests/event_framer_test.cc
+++ b/packages/routing/tests/event_framer_test.cc
@@ -4,7 +4,7 @@
 
 using gentianroute::routing::EventFramer;
 
-Test(event_framer, whole_events_pass_byte_for_byte) {
+Test(event_framer, complete_events_pass_unchanged) {
   EventFramer framer;
   cr_assert(framer.Feed("id: 1\ndata: a\n\n") == "id: 1\ndata: a\n\n");
   cr_assert(framer.last_id() == "1");
@@ -12,7 +12,7 @@
 
 // A server fails in the middle of an event and another one resumes after the
 // last complete event. The caller must not get an event assembled from both.
-Test(event_framer, half_an_event_is_kept_back) {
+Test(event_framer, partial_event_is_held_back) {
   EventFramer framer;
   cr_assert(framer.Feed("id: 1\ndata: a\n\nid: 2\nda") == "id: 1\ndata: a\n\n");
   cr_assert(framer.last_id() == "1");
@@ -21,7 +21,7 @@
   cr_assert(framer.last_id() == "2");
 }
 
-Test(event_framer, event_split_over_reads_is_put_together) {
+Test(event_framer, event_split_over_reads_is_reassembled) {
   EventFramer framer;
   cr_assert(framer.Feed("id: 7\nda").empty());
   cr_assert(framer.Feed("ta: x\n").empty());
--- a/packages/routing/tests/pool_choice_test.cc
+++ b/packages/routing/tests/pool_choice_test.cc
@@ -93,15 +93,15 @@
   cr_assert_null(ChoosePool(pools, {4, 13 * kMs}, kCapacity, TestTopology()));
 }
 
-Test(pool_state_table, work_handed_over_counts_until_the_next_report) {
+Test(pool_state_table, submitted_work_counts_until_the_next_report) {
   PoolStateTable board;
   board.SetServers("stage", "north", 1);
   board.Report(kStart, Pool("north", 0, 100 * kMs));
   board.OnWorkSubmitted("stage", "north", 200 * kMs);
-  cr_assert_eq(board.PoolsOf(kStart, "stage")[0].backlog.in_time.count(),
+  cr_assert_eq(board.PoolsOf(kStart, "stage")[0].backlog.on_time.count(),
                Duration(300 * kMs).count());
   board.Report(kStart, Pool("north", 0, 50 * kMs));
-  cr_assert_eq(board.PoolsOf(kStart, "stage")[0].backlog.in_time.count(),
+  cr_assert_eq(board.PoolsOf(kStart, "stage")[0].backlog.on_time.count(),
                Duration(50 * kMs).count());
 }
 
@@ -110,6 +110,6 @@
   board.SetServers("stage", "north", 2);
   board.Report(kStart, Pool("north", 0, 300 * kMs));
   cr_assert_eq(
-      board.PoolsOf(kStart + 100 * kMs, "stage")[0].backlog.in_time.count(),
+      board.PoolsOf(kStart + 100 * kMs, "stage")[0].backlog.on_time.count(),
       Duration(100 * kMs).count());
 }
--- a/packages/routing/tests/prompt_cache_test.cc
+++ b/packages/routing/tests/prompt_cache_test.cc
@@ -17,11 +17,11 @@
 
 }  // namespace
 
-Test(prompt_cache, unknown_prompt_is_read_but_for_its_own_part) {
+Test(prompt_cache, all_shared_parts_of_an_unknown_prompt_are_uncached) {
   cr_assert_eq(PromptCache().UncachedSharedTokens(PromptAbout("a")), 6300);
 }
 
-Test(prompt_cache, other_subject_shares_what_comes_before) {
+Test(prompt_cache, other_subject_shares_the_parts_before_it) {
   PromptCache cache;
   cache.OnPrefill(kStart, PromptAbout("a"), 1e6);
   cr_assert_eq(cache.UncachedSharedTokens(PromptAbout("a")), 0);
@@ -29,7 +29,7 @@
 }
 
 // A part is cached only together with all parts before it.
-Test(prompt_cache, part_behind_an_unknown_one_is_read) {
+Test(prompt_cache, part_after_an_unknown_one_is_uncached) {
   PromptCache cache;
   cache.OnPrefill(kStart, PromptAbout("a"), 1e6);
   Prompt prompt = PromptAbout("a");
@@ -37,7 +37,7 @@
   cr_assert_eq(cache.UncachedSharedTokens(prompt), 6300);
 }
 
-Test(prompt_cache, oldest_part_goes_when_room_runs_out) {
+Test(prompt_cache, oldest_part_is_evicted_at_capacity) {
   PromptCache cache;
   cache.OnPrefill(kStart, PromptAbout("a"), 1e6);
   cache.OnPrefill(kStart + 1 * kMs, PromptAbout("b"), 7000);
--- a/packages/routing/tests/routing_fixture.h
+++ b/packages/routing/tests/routing_fixture.h
@@ -37,15 +37,17 @@
   StagePool pool;
   std::vector<ServerPtr> servers;
 
-  explicit PoolFixture(std::uint32_t batch = 10, double room_bytes = 0)
-      : capacity(CapacityOf(batch, room_bytes)), pool(capacity) {}
+  explicit PoolFixture(std::uint32_t batch = 10,
+                       double result_storage_bytes = 0)
+      : capacity(CapacityOf(batch, result_storage_bytes)), pool(capacity) {}
 
-  static StageCapacity CapacityOf(std::uint32_t batch, double room_bytes) {
+  static StageCapacity CapacityOf(std::uint32_t batch,
+                                  double result_storage_bytes) {
     StageCapacity capacity;
     capacity.batch = batch;
     capacity.call_overhead = 150 * kMs;
     capacity.piece_time = 13 * kMs;
-    capacity.result_storage_bytes = room_bytes;
+    capacity.result_storage_bytes = result_storage_bytes;
     capacity.result_lifetime = std::chrono::seconds(4);
     return capacity;
   }
--- a/packages/routing/tests/server_choice_test.cc
+++ b/packages/routing/tests/server_choice_test.cc
@@ -158,7 +158,7 @@
 
 // A subject was split because its home had a queue. Later requests return to
 // the home only if that costs less than using the existing copy.
-Test(server_choice, subject_read_elsewhere_before_is_not_read_again_there) {
+Test(server_choice, copy_of_a_subject_at_another_server_is_reused) {
   const ModelFixture fixture;
   const Prompt prompt = PromptAbout("hot", "r0");
   const ServerPtr home = fixture.Choose(prompt);
--- a/packages/routing/tests/directory_test.cc
+++ b/packages/routing/tests/server_directory_test.cc
@@ -29,7 +29,7 @@
 
 // A restarted server keeps its id but has lost its state, so nothing recorded
 // for the earlier incarnation may apply to it.
-Test(server_directory, another_start_is_another_server) {
+Test(server_directory, new_incarnation_is_another_server) {
   ServerDirectory servers;
   servers.Put(Record("a", 1));
   const ServerPtr before(servers.Find("a"));
@@ -50,7 +50,7 @@
   cr_assert_eq(servers.ServersOf("other").size(), 1);
 }
 
-Test(server_directory, removed_server_is_gone) {
+Test(server_directory, removed_server_is_not_listed) {
   ServerDirectory servers;
   servers.Put(Record("a"));
   servers.Remove(kStart, "a");
@@ -60,7 +60,7 @@
 // Entries of live servers expire during a store outage because they can't be
 // renewed. Dropping them at once would leave callers without a server; servers
 // register again within two seconds of the end of the outage.
-Test(server_directory, lapsed_server_stays_until_it_had_time_to_return) {
+Test(server_directory, expired_server_stays_during_the_grace_period) {
   ServerDirectory servers;
   servers.Put(Record("a"));
   servers.OnStoreRecovered(kStart);
@@ -71,7 +71,7 @@
   cr_assert_eq(servers.ServersOf("stage").size(), 1);
 }
 
-Test(server_directory, lapsed_server_that_does_not_return_is_gone) {
+Test(server_directory, expired_server_without_renewal_is_removed) {
   ServerDirectory servers;
   servers.Put(Record("a"));
   servers.OnStoreRecovered(kStart);
--- a/packages/routing/tests/service_time_estimate_test.cc
+++ b/packages/routing/tests/service_time_estimate_test.cc
@@ -29,16 +29,17 @@
   }
 };
 
-bool IsWithin(Duration value, Duration wanted, double factor) {
-  return Seconds(value) < Seconds(wanted) * factor &&
-         Seconds(value) > Seconds(wanted) / factor;
+bool IsWithin(Duration value, Duration expected, double factor) {
+  return Seconds(value) < Seconds(expected) * factor &&
+         Seconds(value) > Seconds(expected) / factor;
 }
 
 }  // namespace
 
 // A daemon sees a few first events per second, so forty take about ten seconds
 // under normal load.
-Test(service_time_estimate, pace_ten_times_slower_is_learnt_from_forty_events) {
+Test(service_time_estimate,
+     speed_ten_times_slower_is_learned_from_forty_events) {
   const UniformServers slow{800, 5};
   ServiceTimeEstimate estimate;
   slow.Train(estimate, 40);
@@ -48,7 +49,8 @@
                      1.5));
 }
 
-Test(service_time_estimate, pace_ten_times_faster_is_learnt_from_forty_events) {
+Test(service_time_estimate,
+     speed_ten_times_faster_is_learned_from_forty_events) {
   const UniformServers fast{5, 500};
   ServiceTimeEstimate estimate;
   fast.Train(estimate, 40);
@@ -56,7 +58,8 @@
                      fast.TimeToFirstEvent(17000), 1.5));
 }
 
-Test(service_time_estimate, one_odd_answer_moves_it_by_less_than_a_third) {
+Test(service_time_estimate,
+     one_outlier_changes_the_estimate_by_less_than_a_third) {
   const UniformServers usual;
   ServiceTimeEstimate estimate;
   usual.Train(estimate, 100);
@@ -65,7 +68,7 @@
   cr_assert(IsWithin(estimate.TimeToFirstEvent(9000), before, 1.33));
 }
 
-Test(service_time_estimate, plain_work_is_learnt_apart_from_the_queue) {
+Test(service_time_estimate, plain_work_is_learned_apart_from_the_queue) {
   ServiceTimeEstimate estimate;
   for (int i = 0; i < 40; ++i) {
     estimate.OnAnswer(1.0, 15 * kMs);
@@ -74,7 +77,7 @@
   cr_assert(IsWithin(estimate.ServiceTime(), 15 * kMs, 1.1));
 }
 
-Test(service_time_estimate, run_and_steps_are_learnt) {
+Test(service_time_estimate, stream_time_and_decode_time_are_learned) {
   ServiceTimeEstimate estimate;
   for (int i = 0; i < 40; ++i) {
     estimate.OnStreamEnd(100, 300 * kMs);
--- a/packages/routing/tests/stage_plan_test.cc
+++ b/packages/routing/tests/stage_plan_test.cc
@@ -17,7 +17,7 @@
 
 }  // namespace
 
-Test(stage_plan, chain_goes_one_by_one) {
+Test(stage_plan, chain_runs_in_sequence) {
   const auto stages = ChatStages();
   const std::vector<std::uint32_t> pieces = {0, 1, 8, 16};
   StagePlan plan(stages, pieces);
@@ -48,7 +48,7 @@
   cr_assert(StagePlan(stages, {}).complete());
 }
 
-Test(stage_plan, own_call_reads_what_no_stage_reads) {
+Test(stage_plan, own_call_reads_results_that_no_stage_reads) {
   const auto stages = ChatStages();
   const std::vector<std::uint32_t> pieces = {1, 1, 1, 1};
   StagePlan plan(stages, pieces);
@@ -60,7 +60,7 @@
   cr_assert_eq(plan.FinalInputs(), (std::vector<std::string>{"w", "c"}));
 }
 
-Test(stage_plan, results_are_spent_once_their_reader_is_done) {
+Test(stage_plan, results_are_unneeded_once_their_reader_is_done) {
   const auto stages = ChatStages();
   const std::vector<std::uint32_t> pieces = {0, 1, 1, 1};
   StagePlan plan(stages, pieces);
@@ -75,7 +75,7 @@
 // A result was lost with its server after the inputs of its stage had been
 // released, so the whole chain up to it must run again. A stage must never run
 // with only some of its inputs.
-Test(stage_plan, lost_result_is_made_again_with_all_before_it) {
+Test(stage_plan, lost_result_is_recomputed_with_its_inputs) {
   const auto stages = ChatStages();
   const std::vector<std::uint32_t> pieces = {0, 1, 1, 1};
   StagePlan plan(stages, pieces);
@@ -92,7 +92,7 @@
   cr_assert_eq(plan.Ready(), std::vector<std::uint32_t>{3});
 }
 
-Test(stage_plan, results_read_by_the_own_call_are_made_again_for_another_run) {
+Test(stage_plan, inputs_of_the_own_call_are_recomputed_for_another_attempt) {
   const auto stages = ChatStages();
   const std::vector<std::uint32_t> pieces = {1, 0, 0, 0};
   StagePlan plan(stages, pieces);
--- a/packages/routing/tests/stage_pool_test.cc
+++ b/packages/routing/tests/stage_pool_test.cc
@@ -52,7 +52,7 @@
 
 // Overload: running first the group that can no longer be on time would make
 // the other one late as well. It goes last although it was submitted first.
-Test(stage_pool, burst_serves_first_what_can_still_be_in_time) {
+Test(stage_pool, burst_runs_work_that_can_be_on_time_first) {
   PoolFixture fixture(4);
   fixture.servers = {MakeServer("a")};
   fixture.Submit("missed", 4, 50 * kMs);
@@ -63,7 +63,7 @@
   }
 }
 
-Test(stage_pool, free_server_is_kept_when_one_call_holds_all) {
+Test(stage_pool, server_stays_free_when_one_call_holds_all) {
   PoolFixture fixture(10);
   fixture.servers = {MakeServer("a"), MakeServer("b")};
   fixture.Submit("r1", 4);
@@ -73,7 +73,7 @@
 // A server with storage for 16 results of 3 MB holds each from the start of its
 // call until it is released. A call filled beyond the free storage would come
 // back without most of its results, and its time would be wasted.
-Test(stage_pool, call_is_filled_by_the_room_that_is_left) {
+Test(stage_pool, call_is_limited_by_free_result_storage) {
   constexpr double kResultBytes = 3e6;
   PoolFixture fixture(10, 49e6);
   fixture.servers = {MakeServer("a")};
@@ -91,7 +91,7 @@
 
 // Results of a part of a group would occupy the storage that its rest needs,
 // and delay the whole group.
-Test(stage_pool, group_goes_whole_into_one_call) {
+Test(stage_pool, group_that_fits_into_one_call_is_not_split) {
   constexpr double kResultBytes = 3e6;
   PoolFixture fixture(10, 49e6);
   fixture.servers = {MakeServer("a")};
@@ -105,7 +105,7 @@
   }
 }
 
-Test(stage_pool, room_that_an_urgent_group_lacks_is_kept_for_it) {
+Test(stage_pool, result_storage_is_reserved_for_an_urgent_group) {
   constexpr double kResultBytes = 3e6;
   PoolFixture fixture(10, 30e6);
   fixture.servers = {MakeServer("a")};
@@ -125,7 +125,7 @@
                10);
 }
 
-Test(stage_pool, released_results_make_room) {
+Test(stage_pool, released_results_free_storage) {
   constexpr double kResultBytes = 3e6;
   PoolFixture fixture(10, 30e6);
   fixture.servers = {MakeServer("a")};
@@ -141,7 +141,7 @@
   cr_assert_eq(second[0].pieces.size(), 10);
 }
 
-Test(stage_pool, unreleased_results_run_out) {
+Test(stage_pool, unreleased_results_expire) {
   constexpr double kResultBytes = 3e6;
   PoolFixture fixture(10, 30e6);
   fixture.servers = {MakeServer("a")};
@@ -156,7 +156,7 @@
 
 // A server fails during a call. The pieces have no side effects, so they are
 // run again on another server, and the failed one is avoided.
-Test(stage_pool, broken_call_is_made_again_elsewhere) {
+Test(stage_pool, broken_call_is_repeated_on_another_server) {
   PoolFixture fixture(10);
   fixture.servers = {MakeServer("a"), MakeServer("b")};
   fixture.Submit("r1", 3);
@@ -169,9 +169,9 @@
   cr_assert(again[0].server != first[0].server);
 }
 
-Test(stage_pool, slow_server_is_left_out_while_another_is_open) {
+Test(stage_pool, slow_server_is_skipped_while_another_is_open) {
   PoolFixture fixture(10);
-  fixture.servers = {MakeServer("slow"), MakeServer("healthy")};
+  fixture.servers = {MakeServer("slow"), MakeServer("sound")};
   for (int i = 0; i < 30; ++i) {
     fixture.servers[0]->history().OnAnswer(kStart, true, 5.0);
   }
@@ -181,7 +181,7 @@
   cr_assert(calls[0].server == fixture.servers[1]);
 }
 
-Test(stage_pool, group_that_can_not_end_in_time_is_given_up_at_once) {
+Test(stage_pool, group_that_can_not_meet_its_deadline_fails_at_once) {
   PoolFixture fixture(10);
   fixture.servers = {MakeServer("a")};
   const StageGroupId group = fixture.Submit("r1", 3);
@@ -195,7 +195,7 @@
 
 // The work ahead of the group takes longer than its deadline allows. The caller
 // must learn this at once, while it still has time to retry.
-Test(stage_pool, group_behind_too_much_work_is_given_up_at_once) {
+Test(stage_pool, group_behind_too_much_work_fails_at_once) {
   PoolFixture fixture(10);
   fixture.servers = {MakeServer("a")};
   for (int i = 0; i < 30; ++i) {
@@ -223,7 +223,7 @@
   cr_assert(ended.at(0).failure == StageFailure::kNoServer);
 }
 
-Test(stage_pool, results_of_a_cancelled_group_are_orphans) {
+Test(stage_pool, results_of_a_cancelled_group_are_orphaned) {
   PoolFixture fixture(10);
   fixture.servers = {MakeServer("a")};
   const StageGroupId group = fixture.Submit("r1", 2);
@@ -251,6 +251,6 @@
   fixture.Submit("late", 10, 10 * kMs);
   fixture.Submit("timely", 5, std::chrono::seconds(2));
   const Backlog backlog = fixture.pool.BacklogAt(kStart);
-  cr_assert_eq(backlog.in_time.count(), Duration(215 * kMs).count());
-  cr_assert_gt(backlog.all.count(), backlog.in_time.count());
+  cr_assert_eq(backlog.on_time.count(), Duration(215 * kMs).count());
+  cr_assert_gt(backlog.all.count(), backlog.on_time.count());
 }
--- a/packages/routing/tests/work_order_test.cc
+++ b/packages/routing/tests/work_order_test.cc
@@ -11,16 +11,16 @@
 
 namespace {
 
-/// ServiceTime queued for one server.
+/// Work queued for one server.
 struct QueueFixture {
   std::vector<WaitingWork> waiting;
 
   std::uint64_t Add(Duration due_in,
                     Duration server_time,
                     double value = 1,
-                    TimePoint came = kStart) {
+                    TimePoint submitted_at = kStart) {
     const std::uint64_t id = waiting.size() + 1;
-    waiting.push_back({id, came, kStart + due_in, server_time,
+    waiting.push_back({id, submitted_at, kStart + due_in, server_time,
                        /*shortest=*/server_time, value});
     return id;
   }
@@ -33,7 +33,7 @@
     return ids;
   }
   /// Value done on time if one server runs the work in order.
-  double ValueInTime() const {
+  double ValueOnTime() const {
     double value = 0;
     TimePoint now = kStart;
     for (const WaitingWork& work : OrderWork(kStart, waiting, Duration{0}, 1)) {
@@ -46,7 +46,7 @@
 
 }  // namespace
 
-Test(work_order, all_in_time_goes_as_it_is_wanted) {
+Test(work_order, feasible_work_runs_by_earliest_deadline) {
   QueueFixture fixture;
   const auto later = fixture.Add(900 * kMs, 100 * kMs, 100);
   const auto sooner = fixture.Add(400 * kMs, 100 * kMs, 1);
@@ -56,16 +56,16 @@
 
 // Overload: twice as much work is due at once as the server can do. With
 // earliest deadline first alone, all of it would be late.
-Test(work_order, burst_keeps_half_of_it_in_time) {
+Test(work_order, overload_keeps_half_of_the_work_on_time) {
   QueueFixture fixture;
   for (int i = 0; i < 20; ++i) {
     fixture.Add((500 + i) * kMs, 50 * kMs);
   }
-  cr_assert_geq(fixture.ValueInTime(), 9);
+  cr_assert_geq(fixture.ValueOnTime(), 9);
 }
 
 // Overload: cheap requests of low value compete with urgent ones of high value.
-Test(work_order, work_of_less_value_for_its_server_time_steps_back) {
+Test(work_order, work_of_lower_value_density_is_displaced) {
   QueueFixture fixture;
   const auto cheap = fixture.Add(200 * kMs, 100 * kMs, 0.1);
   const auto dear = fixture.Add(210 * kMs, 150 * kMs, 1.0);
@@ -75,7 +75,7 @@
 
 // A request of low value that needs very little server time has a higher value
 // density than a large one.
-Test(work_order, small_work_is_judged_by_the_time_that_it_takes) {
+Test(work_order, small_work_is_judged_by_value_density) {
   QueueFixture fixture;
   const auto large = fixture.Add(200 * kMs, 190 * kMs, 1.0);
   const auto small = fixture.Add(205 * kMs, 20 * kMs, 0.3);
@@ -83,7 +83,7 @@
   cr_assert(fixture.Order() == expected);
 }
 
-Test(work_order, late_work_of_more_value_waits_behind_what_is_in_time) {
+Test(work_order, late_work_of_higher_value_runs_after_work_on_time) {
   QueueFixture fixture;
   const auto late = fixture.Add(-100 * kMs, 50 * kMs, 9.0);
   const auto timely = fixture.Add(500 * kMs, 50 * kMs, 1.0);
@@ -93,7 +93,7 @@
 
 // No starvation: the value density of late work grows with its time in the
 // queue.
-Test(work_order, late_work_that_has_waited_long_goes_before_more_value) {
+Test(work_order, late_work_gains_priority_with_its_wait) {
   QueueFixture fixture;
   const auto fresh = fixture.Add(-100 * kMs, 50 * kMs, 9.0);
   const auto old =
@@ -102,7 +102,7 @@
   cr_assert(fixture.Order() == expected);
 }
 
-Test(work_order, more_servers_keep_more_in_time) {
+Test(work_order, more_servers_keep_more_work_on_time) {
   QueueFixture fixture;
   fixture.Add(110 * kMs, 100 * kMs, 1.0);
   const auto second = fixture.Add(111 * kMs, 100 * kMs, 1.0);
