--- a/packages/routing/include/gentianroute/routing/drain_times.h
+++ b/packages/routing/include/gentianroute/routing/drain_times.h
@@ -7,7 +7,7 @@
 
 /// @brief Times in the shutdown of a daemon that has been told to stop.
 struct DrainTimes {
-  /// New connections are not expected after this.
+  /// No new requests are expected after this time.
   TimePoint last_expected_request = kNever;
   TimePoint ends_at = kNever;  ///< unfinished requests are aborted at this time
 
--- a/packages/routing/include/gentianroute/routing/placed_bytes.h
+++ b/packages/routing/include/gentianroute/routing/placed_bytes.h
@@ -19,9 +19,9 @@
 /// an input stage. Each piece fetches all results separately.
 ///
 /// The results of a stage with many reading pieces therefore count for a
-/// multiple of their size. Counted once, a small difference in backlog would
-/// move the readers to another data centre, where the transfer is billed for
-/// each piece.
+/// multiple of their size. If they were counted once, a small difference in
+/// backlog would move the readers to another data centre, where the transfer is
+/// billed for each piece.
 inline PlacedBytes InputTransfer(std::string data_centre,
                                  double result_bytes,
                                  std::uint32_t results,
--- a/packages/routing/include/gentianroute/routing/work_order.h
+++ b/packages/routing/include/gentianroute/routing/work_order.h
@@ -20,12 +20,12 @@
 
 /// @brief Orders work to maximise the value that is done on time.
 ///
-/// Work is ordered by earliest deadline first. Under overload that order
-/// alone would make everything late. Whenever an item would miss its soft
-/// deadline, the item with the lowest value for its server time is therefore
-/// displaced from those up to it. Late and displaced work follows, by value for
-/// its server time, which grows with the time in the queue so that nothing
-/// starves behind more valuable work.
+/// Work is ordered by earliest deadline first. Under overload that order alone
+/// would make everything late, so whenever an item would miss its soft
+/// deadline, the item of lowest value density (value for its server time) among
+/// those up to it is displaced. Late and displaced work follows by value
+/// density, which grows with the time in the queue so that nothing starves
+/// behind more valuable work.
 /// @param busy time until the servers are free, summed over servers
 /// @return the work in order of execution
 /// @complexity O(n log n)
--- a/packages/routing/src/server_choice.cc
+++ b/packages/routing/src/server_choice.cc
@@ -18,8 +18,9 @@
 /// Large enough that a server with a recent connection failure is used only if
 /// no other server can be, whatever their queues.
 constexpr double kAvoidedPenaltyMs = 5000.0;
-/// Added to the prefill time for every server but the home of a subject, so
-/// that small changes of load do not split a subject over two servers.
+/// Added to the prefill time of shared parts at servers other than the home of
+/// a subject, so that small changes of load do not split a subject over two
+/// servers.
 constexpr double kNotHomePenaltyMs = 15.0;
 constexpr double kRankStepMs = 1.5;
 
--- a/packages/routing/tests/pool_choice_test.cc
+++ b/packages/routing/tests/pool_choice_test.cc
@@ -23,7 +23,7 @@
   const std::vector<PoolState> pools = {Pool("south", 2, {}),
                                         Pool("north", 2, {})};
   const PoolState* pool =
-      ChoosePool(pools, {4, 13 * kMs}, kCapacity, TestTopology());
+      ChoosePool(pools, {4, 13 * kMs}, kCapacity, TwoRegions());
   cr_assert_str_eq(pool->data_centre.c_str(), "north");
 }
 
@@ -33,7 +33,7 @@
   const std::vector<PoolState> pools = {
       Pool("south", 2, {}), Pool("north", 1, std::chrono::seconds(1))};
   const PoolState* pool =
-      ChoosePool(pools, {4, 13 * kMs}, kCapacity, TestTopology());
+      ChoosePool(pools, {4, 13 * kMs}, kCapacity, TwoRegions());
   cr_assert_str_eq(pool->data_centre.c_str(), "south");
 }
 
@@ -44,7 +44,7 @@
   work.result_bytes = 9e6;
   work.reader_data_centre = "south";
   cr_assert_str_eq(
-      ChoosePool(pools, work, kCapacity, TestTopology())->data_centre.c_str(),
+      ChoosePool(pools, work, kCapacity, TwoRegions())->data_centre.c_str(),
       "south");
 }
 
@@ -60,12 +60,12 @@
   narrow.inputs = {
       InputTransfer("south", kResultBytes, kResults, narrow.pieces)};
   cr_assert_str_eq(
-      ChoosePool(pools, narrow, kCapacity, TestTopology())->data_centre.c_str(),
+      ChoosePool(pools, narrow, kCapacity, TwoRegions())->data_centre.c_str(),
       "north");
   PoolWork wide{16, 2 * kMs};
   wide.inputs = {InputTransfer("south", kResultBytes, kResults, wide.pieces)};
   cr_assert_str_eq(
-      ChoosePool(pools, wide, kCapacity, TestTopology())->data_centre.c_str(),
+      ChoosePool(pools, wide, kCapacity, TwoRegions())->data_centre.c_str(),
       "south");
 }
 
@@ -80,17 +80,17 @@
   work.reader_data_centre = "south";
   work.time_left = 2000 * kMs;
   cr_assert_str_eq(
-      ChoosePool(pools, work, kCapacity, TestTopology())->data_centre.c_str(),
+      ChoosePool(pools, work, kCapacity, TwoRegions())->data_centre.c_str(),
       "south");
   work.time_left = 800 * kMs;
   cr_assert_str_eq(
-      ChoosePool(pools, work, kCapacity, TestTopology())->data_centre.c_str(),
+      ChoosePool(pools, work, kCapacity, TwoRegions())->data_centre.c_str(),
       "north");
 }
 
 Test(pool_choice, pool_without_servers_is_not_taken) {
   const std::vector<PoolState> pools = {Pool("north", 0, {})};
-  cr_assert_null(ChoosePool(pools, {4, 13 * kMs}, kCapacity, TestTopology()));
+  cr_assert_null(ChoosePool(pools, {4, 13 * kMs}, kCapacity, TwoRegions()));
 }
 
 Test(pool_state_table, submitted_work_counts_until_the_next_report) {
--- a/packages/routing/tests/routing_fixture.h
+++ b/packages/routing/tests/routing_fixture.h
@@ -27,7 +27,7 @@
   return ServerPtr(new Server(record));
 }
 
-inline Topology TestTopology() {
+inline Topology TwoRegions() {
   return Topology("north", {{"north", "N"}, {"north-b", "N"}, {"south", "S"}});
 }
 
--- a/packages/routing/tests/server_choice_test.cc
+++ b/packages/routing/tests/server_choice_test.cc
@@ -23,7 +23,7 @@
   std::vector<ServerPtr> servers;
   ModelCapacity capacity{64, 450'000};
   ServiceTimeEstimate estimate;
-  Topology topology = TestTopology();
+  Topology topology = TwoRegions();
 
   ModelFixture() {
     for (int i = 0; i < 6; ++i) {
@@ -45,7 +45,7 @@
   const std::vector<ServerPtr> servers = {MakeServer("far", "south", 6),
                                           MakeServer("near", "north", 6)};
   const ServerChoice choice =
-      ChoosePlainServer(kStart, servers, {}, {}, TestTopology());
+      ChoosePlainServer(kStart, servers, {}, {}, TwoRegions());
   cr_assert(choice.server == servers[1]);
 }
 
@@ -54,7 +54,7 @@
                                           MakeServer("near", "north", 6)};
   servers[1]->own().calls = 18;
   const ServerChoice choice =
-      ChoosePlainServer(kStart, servers, {}, {}, TestTopology());
+      ChoosePlainServer(kStart, servers, {}, {}, TwoRegions());
   cr_assert(choice.server == servers[0]);
 }
 
@@ -66,7 +66,7 @@
   for (int i = 0; i < 10; ++i) {
     servers[1]->history().OnAnswer(kStart, false, 1.0);
   }
-  const Topology topology = TestTopology();
+  const Topology topology = TwoRegions();
   cr_assert(ChoosePlainServer(kStart, servers, {}, {}, topology).server ==
             servers[0]);
   const TimePoint later = kStart + std::chrono::seconds(30);
@@ -83,7 +83,7 @@
   servers[2]->Unlist();
   const std::vector<std::string> tried = {"tried"};
   const ServerChoice choice =
-      ChoosePlainServer(kStart, servers, tried, {}, TestTopology());
+      ChoosePlainServer(kStart, servers, tried, {}, TwoRegions());
   cr_assert(choice.server == nullptr);
 }
 
--- a/packages/routing/tests/work_order_test.cc
+++ b/packages/routing/tests/work_order_test.cc
@@ -21,7 +21,7 @@
                     TimePoint submitted_at = kStart) {
     const std::uint64_t id = waiting.size() + 1;
     waiting.push_back({id, submitted_at, kStart + due_in, server_time,
-                       /*shortest=*/server_time, value});
+                       /*min_duration=*/server_time, value});
     return id;
   }
   std::vector<std::uint64_t> Order(std::size_t servers = 1,
