--- a/packages/routing/include/gentianroute/routing/deployment.h
+++ b/packages/routing/include/gentianroute/routing/deployment.h
@@ -37,7 +37,7 @@
   std::string hostname;
   std::string prefix;  ///< begins and ends with a slash
   RouteKind kind = RouteKind::kIdempotent;
-  Duration timeout{};          ///< longest time until an answer is complete
+  Duration timeout{};          ///< longest time that a caller is kept waiting
   Duration target{};           ///< answers within this time are on time
   Duration pause_target{};     ///< longest pause between events that is on time
   std::uint32_t priority = 0;  ///< 0 is the most urgent
--- a/packages/routing/include/gentianroute/routing/topology.h
+++ b/packages/routing/include/gentianroute/routing/topology.h
@@ -12,7 +12,7 @@
 /// @brief Regions of the data centres and the round-trip times between them.
 class Topology {
  public:
-  /// Round-trip times of the links in the reference deployments.
+  /// Round-trip times of the links as specified for the target deployments.
   static constexpr Duration kInDataCentre = std::chrono::microseconds(400);
   static constexpr Duration kInRegion = std::chrono::milliseconds(1);
   static constexpr Duration kBetweenRegions = std::chrono::milliseconds(40);
--- a/packages/routing/tests/routing_fixture.h
+++ b/packages/routing/tests/routing_fixture.h
@@ -31,7 +31,8 @@
   return Topology("north", {{"north", "N"}, {"north-b", "N"}, {"south", "S"}});
 }
 
-/// A stage pool with call and piece times as in the reference deployments.
+/// A stage pool with the call and piece times specified for the target
+/// deployments.
 struct PoolFixture {
   StageCapacity capacity;
   StagePool pool;
--- a/packages/routing/tests/stage_plan_test.cc
+++ b/packages/routing/tests/stage_plan_test.cc
@@ -6,8 +6,8 @@
 
 namespace {
 
-/// The largest graph of the reference deployments: a chain of three stages and
-/// one parallel stage.
+/// The widest stage graph of the target deployments: a chain of three stages
+/// and one parallel stage.
 std::vector<StageSpec> ChatStages() {
   return {{"wide", {}, 3'000'000},
           {"first", {}, 8'000},
