--- a/benchmarks/capacity/capacity_bench.cc
+++ b/benchmarks/capacity/capacity_bench.cc
@@ -216,13 +216,13 @@
   ClaimLedger ledger(options, codec);
   std::uint64_t version = 1;
   const auto settle = [&](TimePoint now) {
-    for (const ClaimStep& step : ledger.TakeSteps()) {
+    for (const ClaimOperation& step : ledger.TakeOperations()) {
       TransactResult result;
       result.status = TableStatus::kCommitted;
       for (std::size_t i = 0; i < step.transaction.writes.size(); ++i) {
         result.versions.push_back(version++);
       }
-      ledger.OnTransacted(now, step.step, result);
+      ledger.OnTransacted(now, step.id, result);
     }
   };
   const std::string answer(200, 'a');
@@ -234,7 +234,7 @@
                        "key-" + std::to_string(i), "digest");
       ledger.Advance(now);
       settle(now);
-      ledger.TakeVerdicts();
+      ledger.TakeResults();
       ledger.Settle(now, token, ClaimState::kAnswered, 200, answer);
       ledger.Advance(now);
       settle(now);
--- a/packages/decision/include/gentianroute/decision/action.h
+++ b/packages/decision/include/gentianroute/decision/action.h
@@ -52,7 +52,7 @@
   AttemptId attempt;
   ServerRef server;
   /// The connection went silent: close idle ones to the same server too.
-  bool condemn_connections = false;
+  bool close_idle_connections = false;
   /// How the call failed, for the log; empty: its answer is no longer needed.
   std::string reason;
 };
@@ -85,7 +85,7 @@
 };
 
 /// @brief Asks the daemon that holds a claim what became of it.
-struct AskClaimer {
+struct QueryClaimHolder {
   RequestId request;
   Claim claim;
 };
@@ -116,7 +116,7 @@
                             CancelAttempt,
                             DeliverChunk,
                             FinishRequest,
-                            AskClaimer,
+                            QueryClaimHolder,
                             AnswerJoin>;
 
 }  // namespace gentianroute
--- a/packages/decision/include/gentianroute/decision/attempt.h
+++ b/packages/decision/include/gentianroute/decision/attempt.h
@@ -25,17 +25,18 @@
 };
 
 /// @brief What a failure says, by which the daemon goes on.
-struct FailureMeaning {
+struct FailureTraits {
   AttemptFailure failure;
   const char* name;
-  bool may_have_run;     ///< an effect may have taken place
-  bool blames_server;    ///< counts against the server's health
-  bool worth_repeating;  ///< another call may fare better
-  bool condemns_others;  ///< other connections to the server may be dead too
+  bool may_have_run;             ///< an effect may have taken place
+  bool counts_against_server;    ///< counts against the server's health
+  bool retryable;                ///< another call may fare better
+  bool invalidates_connections;  ///< other connections to the server may be
+                                 ///< dead too
 };
 
 /// @complexity constant
-const FailureMeaning& MeaningOf(AttemptFailure failure);
+const FailureTraits& TraitsOf(AttemptFailure failure);
 
 /// @brief One call in flight.
 struct Attempt
@@ -47,10 +48,11 @@
   std::size_t stage_index = 0;
   ServerRef server;
   TimePoint started{};
-  TimePoint silent_at{};  ///< given up if no byte comes before
-  bool written = false;   ///< the far end may have seen it
+  TimePoint next_byte_deadline{};  ///< given up if no byte comes before
+  bool written = false;            ///< the far end may have seen it
   bool suspect = false;
-  TimePoint crash_at{};  ///< when a crash of its server was supposed; zero: no
+  TimePoint suspected_crash_at{};  ///< when a crash of its server was supposed;
+                                   ///< zero: no
   bool crashed_beside_suspect = false;  ///< another suspect ran there as well
   std::uint64_t billed_bytes = 0;  ///< that sending it moves between regions
 };
--- a/packages/decision/include/gentianroute/decision/claim.h
+++ b/packages/decision/include/gentianroute/decision/claim.h
@@ -31,12 +31,12 @@
 
 /// @brief What a claim attempt ended in.
 enum class ClaimOutcome : std::uint8_t {
-  kStands,       ///< the store confirmed this request's own token
+  kConfirmed,    ///< the store confirmed this request's own token
   kTaken,        ///< the key is another request's; `holder` tells whose
   kUnavailable,  ///< not confirmed; this request's token is abandoned for good
 };
 
-struct ClaimVerdict {
+struct ClaimResult {
   RequestId request;
   ClaimOutcome outcome = ClaimOutcome::kUnavailable;
   std::string token;                 ///< of the request that asked
--- a/packages/decision/include/gentianroute/decision/claim_ledger.h
+++ b/packages/decision/include/gentianroute/decision/claim_ledger.h
@@ -23,17 +23,17 @@
 };
 
 /// @brief What the ledger wants done at the table service.
-struct ClaimStep {
+struct ClaimOperation {
   enum class Kind : std::uint8_t { kTransact, kRead };
   Kind kind = Kind::kTransact;
-  std::uint64_t step = 0;  ///< echoed by OnTransacted and OnRead
+  std::uint64_t id = 0;  ///< echoed by OnTransacted and OnRead
   TableTransaction transaction;
   std::vector<TableKey> reads;
 };
 
 /// @brief Claims idempotency keys by conditional writes, many in one go.
 ///
-/// A request may call a stage that must not repeat only after kStands. Every
+/// A request may call a stage that must not repeat only after kConfirmed. Every
 /// other end of a claim (conflict, refusal, lost answer) forbids it: a token
 /// whose write could not be confirmed is abandoned and never dispatched, even
 /// if the write takes effect later, so no two requests ever hold one key.
@@ -48,7 +48,7 @@
     std::uint32_t max_reads = 2;
     Duration retry_delay = std::chrono::milliseconds(200);
     /// How long the row of a result that could not be written is retried.
-    Duration settle_for = std::chrono::minutes(2);
+    Duration settle_timeout = std::chrono::minutes(2);
   };
 
   ClaimLedger(Options options, const ClaimCodec& codec);
@@ -78,14 +78,14 @@
   void LeaveClaimed(std::string_view token);
 
   void OnTransacted(TimePoint now,
-                    std::uint64_t step,
+                    std::uint64_t operation,
                     const TransactResult& result);
-  void OnRead(TimePoint now, std::uint64_t step, const ReadResult& result);
+  void OnRead(TimePoint now, std::uint64_t operation, const ReadResult& result);
   void Advance(TimePoint now);
   TimePoint NextDue() const;
 
-  std::vector<ClaimStep> TakeSteps();
-  std::vector<ClaimVerdict> TakeVerdicts();
+  std::vector<ClaimOperation> TakeOperations();
+  std::vector<ClaimResult> TakeResults();
 
   std::size_t pending() const { return entries_.size(); }
 
@@ -94,7 +94,7 @@
     kWaiting,   ///< not yet in a transaction
     kWriting,   ///< in a transaction that is not answered
     kReading,   ///< the answer was lost; reading back
-    kStanding,  ///< confirmed; the request may call
+    kHeld,      ///< confirmed; the request may call
     kSettling,  ///< the outcome waits to be written, or is being written
   };
   struct Entry {
@@ -104,20 +104,20 @@
     std::uint64_t version = 0;  ///< of the row that our next write replaces
     std::uint32_t reads = 0;
     TimePoint due{};
-    TimePoint give_up{};
-    bool in_step = false;
+    TimePoint settle_deadline{};
+    bool in_flight = false;
   };
 
   using Entries = std::map<std::string, Entry, std::less<>>;
 
   void Flush(TimePoint now);
-  void Emit(ClaimStep step, std::vector<std::string> tokens);
-  std::vector<std::string> TakeTokens(std::uint64_t step);
+  void Emit(ClaimOperation operation, std::vector<std::string> tokens);
+  std::vector<std::string> TakeTokens(std::uint64_t operation);
   void Conclude(Entries::iterator entry, ClaimOutcome outcome);
   void ConcludeTaken(Entries::iterator entry,
                      Claim holder,
                      std::uint64_t version);
-  void Stand(Entries::iterator entry, std::uint64_t version);
+  void Confirm(Entries::iterator entry, std::uint64_t version);
   void OnWriteFailed(TimePoint now,
                      Entries::iterator entry,
                      TableStatus status);
@@ -128,11 +128,12 @@
   Options options_;
   const ClaimCodec& codec_;
   std::uint64_t next_token_ = 1;
-  std::uint64_t next_step_ = 1;
+  std::uint64_t next_operation_ = 1;
   Entries entries_;
-  std::unordered_map<std::uint64_t, std::vector<std::string>> steps_in_flight_;
-  std::vector<ClaimStep> steps_;
-  std::vector<ClaimVerdict> verdicts_;
+  std::unordered_map<std::uint64_t, std::vector<std::string>>
+      operations_in_flight_;
+  std::vector<ClaimOperation> operations_;
+  std::vector<ClaimResult> results_;
 };
 
 }  // namespace gentianroute
--- a/packages/decision/include/gentianroute/decision/coordinator.h
+++ b/packages/decision/include/gentianroute/decision/coordinator.h
@@ -15,7 +15,6 @@
 #include "gentianroute/decision/attempt.h"
 #include "gentianroute/decision/catalogue.h"
 #include "gentianroute/decision/claim_ledger.h"
-#include "gentianroute/decision/dispatch_pace.h"
 #include "gentianroute/decision/fair_queue.h"
 #include "gentianroute/decision/pool_health.h"
 #include "gentianroute/decision/request.h"
@@ -23,6 +22,7 @@
 #include "gentianroute/decision/server_table.h"
 #include "gentianroute/decision/suspect_table.h"
 #include "gentianroute/decision/usage_ledger.h"
+#include "gentianroute/decision/wait_estimator.h"
 
 namespace gentianroute {
 
@@ -53,9 +53,9 @@
  public:
   struct Options {
     std::size_t max_queued = 2048;
-    std::size_t max_remembered = 4096;  ///< outcomes kept for joins
+    std::size_t max_kept_outcomes = 4096;  ///< outcomes kept for joins
     /// Share of the expected time that must be left for a start to make sense.
-    double least_time = 0.5;
+    double min_time_ratio = 0.5;
     std::uint64_t seed = 1;
     RetryBudget::Options retry_budget;
     QueueOrder queue_order = QueueOrder::kFair;
@@ -81,14 +81,15 @@
   void OnCallerGone(TimePoint now, RequestId request);
 
   /// @brief Call after the claim ledger was fed.
-  void PumpClaims(TimePoint now);
+  void ProcessClaims(TimePoint now);
 
-  /// @brief The daemon asked by AskClaimer has answered, or can't be reached.
+  /// @brief The daemon asked by QueryClaimHolder has answered, or can't be
+  /// reached.
   /// @param token that was asked about
-  void OnClaimerAnswered(TimePoint now,
-                         RequestId request,
-                         std::string_view token,
-                         const JoinOutcome& outcome);
+  void OnClaimHolderAnswered(TimePoint now,
+                             RequestId request,
+                             std::string_view token,
+                             const JoinOutcome& outcome);
   /// @brief A peer asks about a token of this daemon; AnswerJoin follows.
   JoinId Join(TimePoint now, std::string_view token);
 
@@ -117,12 +118,13 @@
 
  private:
   /// How often a request that waits for proof of a crash is looked at again.
-  static constexpr Duration kAccusedRetry = std::chrono::milliseconds(200);
+  static constexpr Duration kAccusedRetryInterval =
+      std::chrono::milliseconds(200);
 
   enum class TimerKind : std::uint8_t {
     kDeadline,
-    kTooLate,
-    kSilence,
+    kLatestStart,
+    kNextByteTimeout,
     kHedge,
     kBackOff,
     kIsolation,
@@ -133,7 +135,7 @@
     std::uint64_t id;
     bool operator>(const Timer& other) const { return due > other.due; }
   };
-  struct Remembered {
+  struct FinishedClaim {
     std::string token;
     JoinOutcome outcome;
   };
@@ -150,58 +152,58 @@
 
   // Submission and claims.
   void Admit(TimePoint now, Request& request);
-  std::optional<ErrorKind> RefusalOf(TimePoint now,
-                                     const Request& request,
-                                     std::string& detail);
+  std::optional<ErrorKind> CheckAdmission(TimePoint now,
+                                          const Request& request,
+                                          std::string& detail);
   bool WouldWaitTooLong(TimePoint now, const Request& request);
   /// @brief Enters the first stage, unless some stage's pool answers nobody.
   void Begin(TimePoint now, Request& request);
-  const StageSpec* DarkStage(TimePoint now, const Request& request);
+  const StageSpec* FindFailingStage(TimePoint now, const Request& request);
   void Shed(TimePoint now, std::string_view pool);
   FairQueue::Waiter WaiterOf(const Request& request,
                              const StageSpec& stage) const;
   void BeginClaim(TimePoint now, Request& request, std::uint64_t replaces);
-  void OnVerdict(TimePoint now, const ClaimVerdict& verdict);
+  void OnClaimResult(TimePoint now, const ClaimResult& verdict);
   void AbandonToken(TimePoint now, Request& request);
-  void OnKeyTaken(TimePoint now, Request& request, const ClaimVerdict& verdict);
+  void OnKeyTaken(TimePoint now, Request& request, const ClaimResult& verdict);
   void FinishJoined(TimePoint now,
                     Request& request,
                     const JoinOutcome& outcome);
-  JoinOutcome Recall(std::string_view token) const;
+  JoinOutcome FindOutcome(std::string_view token) const;
 
   // Stages and calls.
   void EnterStage(TimePoint now, Request& request);
   void Enqueue(TimePoint now, Request& request);
   void Dispatch(TimePoint now, std::string_view pool);
-  bool MayGo(TimePoint now, Request& request, ServerRef& server);
-  bool MayGoSuspect(TimePoint now,
-                    Request& request,
-                    PickContext& context,
-                    ServerRef& server);
+  bool TryPickServer(TimePoint now, Request& request, ServerRef& server);
+  bool TryPickServerForSuspect(TimePoint now,
+                               Request& request,
+                               PickContext& context,
+                               ServerRef& server);
   bool Pick(TimePoint now,
             PickContext& context,
             const std::vector<ServerRef>& avoid,
             ServerRef& server);
   const Reservation* ReservationAt(TimePoint now, std::string_view pool) const;
   void StartReserved(TimePoint now, std::string_view pool, FairQueue& queue);
-  void WaitForIsolation(Request& request);
+  void ArmIsolationTimer(Request& request);
   PickContext ContextOf(TimePoint now, const Request& request);
   void BackOff(TimePoint now, Request& request);
-  bool MoreSuspectsMayRun(std::string_view pool) const;
+  bool CanRunMoreSuspects(std::string_view pool) const;
   bool IsHeld(TimePoint now, const Request& request) const;
-  bool IsPastHope(TimePoint now, const Request& request) const;
+  bool MustRefuse(TimePoint now, const Request& request) const;
   void Refuse(TimePoint now, RequestId request);
   /// The record in force of a server that may have been restarted since.
-  ServerRef Listed(const ServerRef& server) const;
+  ServerRef CurrentRecordOf(const ServerRef& server) const;
   std::vector<ServerRef> BusyServers() const;
   std::vector<ServerRef> SuspectServers() const;
   /// Those where a suspect runs, or is about to run, by itself.
   std::vector<ServerRef> IsolatedServers(TimePoint now,
                                          std::string_view pool) const;
   /// Those with a call that could not be made again.
-  std::vector<ServerRef> ServersWithEffects() const;
+  std::vector<ServerRef> ServersWithUnrepeatableCalls() const;
   void CancelOthers(Request& request, AttemptId winner);
-  void DispatchFreed(TimePoint now);
+  void DispatchFreedPools(TimePoint now);
   void Start(TimePoint now, Request& request, ServerRef server);
   void CompleteStage(TimePoint now,
                      Request& request,
@@ -212,19 +214,19 @@
              Request& request,
              AttemptFailure failure,
              std::string_view detail);
-  RetryBudget& BudgetOf(const std::string& pool);
+  RetryBudget& RetryBudgetOf(const std::string& pool);
   ErrorKind KindOfFailure(const Request& request) const;
   void OnReset(TimePoint now, const Attempt& attempt);
   void OnCrash(TimePoint now, const Server& server);
-  void MarkRunningTwins(const std::set<Fingerprint>& suspects);
-  void OnSignOfLife(TimePoint now, Attempt& attempt);
+  void MarkRunningDuplicates(const std::set<Fingerprint>& suspects);
+  void OnServerResponding(TimePoint now, Attempt& attempt);
   /// Adds what came back of a call to what its stage is billed for.
   void CountReceived(const Attempt& attempt, std::uint64_t bytes);
-  Attempt Detach(AttemptId attempt);
+  Attempt RemoveAttempt(AttemptId attempt);
   void CancelAll(Request& request);
   std::string StageInput(const Request& request) const;
-  Duration ExpectedRest(const Request& request) const;
-  Duration Expected(const StageSpec& stage) const;
+  Duration ExpectedRemaining(const Request& request) const;
+  Duration ExpectedDuration(const StageSpec& stage) const;
 
   // Ends.
   void Finish(TimePoint now,
@@ -237,18 +239,18 @@
                    const Request& request,
                    std::optional<ErrorKind> error,
                    const std::string& body);
-  void Remember(TimePoint now,
-                const std::string& token,
-                const JoinOutcome& outcome);
+  void RecordOutcome(TimePoint now,
+                     const std::string& token,
+                     const JoinOutcome& outcome);
 
   // Timers.
   void Arm(TimePoint due, TimerKind kind, std::uint64_t id);
   void OnDeadline(TimePoint now, std::uint64_t request);
-  void OnTooLate(TimePoint now, std::uint64_t request);
-  void OnSilence(TimePoint now, std::uint64_t attempt);
+  void OnLatestStart(TimePoint now, std::uint64_t request);
+  void OnNextByteTimeout(TimePoint now, std::uint64_t attempt);
   void OnHedge(TimePoint now, std::uint64_t attempt);
   void OnBackOff(TimePoint now, std::uint64_t request);
-  void OnIsolationOver(TimePoint now, std::uint64_t request);
+  void OnIsolationTimeout(TimePoint now, std::uint64_t request);
 
   Options options_;
   ServerTable& servers_;
@@ -259,16 +261,16 @@
   CatalogueRef catalogue_;
   std::unordered_map<RequestId, Request> requests_;
   std::unordered_map<AttemptId, Attempt> attempts_;
-  std::unordered_map<const Server*, AttemptList> at_server_;
+  std::unordered_map<const Server*, AttemptList> attempts_by_server_;
   std::map<std::string, FairQueue, std::less<>> queues_;
   std::map<std::string, RetryBudget, std::less<>> budgets_;
-  std::map<std::string, DispatchPace, std::less<>> paces_;
+  std::map<std::string, WaitEstimator, std::less<>> wait_estimators_;
   std::map<std::string, PoolHealth, std::less<>> pool_health_;
-  std::unordered_map<std::string, Duration> measured_;
+  std::unordered_map<std::string, Duration> mean_call_durations_;
   /// Tokens of requests in progress, standing or still being claimed.
   std::map<std::string, RequestId, std::less<>> live_tokens_;
   std::map<std::string, JoinWaiters, std::less<>> joins_;
-  std::deque<Remembered> remembered_;
+  std::deque<FinishedClaim> finished_claims_;
   std::priority_queue<Timer, std::vector<Timer>, std::greater<>> timers_;
   std::vector<Action> actions_;
   CoordinatorCounters counters_;
--- a/packages/decision/include/gentianroute/decision/fair_queue.h
+++ b/packages/decision/include/gentianroute/decision/fair_queue.h
@@ -50,90 +50,93 @@
 
   /// @brief Takes the next one out and charges its estimated cost.
   /// @param now present time, for the decay of use
-  /// @param may_go asked in order; a false leaves that waiter where it is
-  /// @param max_asked waiters asked before giving up
-  /// @param held passed over without being asked; not counted
+  /// @param can_start asked in order; a false leaves that waiter where it is
+  /// @param max_checked waiters asked before giving up
+  /// @param skip passed over without being asked; not counted
   /// @return nothing if no waiter may go
   /// @complexity logarithmic in organisations and in the subscribers of one,
   /// plus the waiters that may not go; linear in organisations once a second
   std::optional<Waiter> Pop(
       TimePoint now,
-      const std::function<bool(const Waiter&)>& may_go = nullptr,
-      std::size_t max_asked = std::numeric_limits<std::size_t>::max(),
-      const std::function<bool(const Waiter&)>& held = nullptr);
+      const std::function<bool(const Waiter&)>& can_start = nullptr,
+      std::size_t max_checked = std::numeric_limits<std::size_t>::max(),
+      const std::function<bool(const Waiter&)>& skip = nullptr);
 
   /// @brief The one to drop when all can't be served: the last to come of the
   /// heaviest subscriber of the heaviest organisation. Nothing is charged.
   /// @return null if nobody waits; valid until the next change
   /// @complexity constant, but for what Pop does once a second
-  const Waiter* Worst(TimePoint now);
+  const Waiter* LowestPriority(TimePoint now);
 
-  /// @brief Whether a newcomer would be the worst, or as bad.
-  bool WouldBeWorst(TimePoint now, const Waiter& newcomer);
+  /// @brief Whether a newcomer would be the lowest, or as bad.
+  bool WouldBeLowestPriority(TimePoint now, const Waiter& newcomer);
 
   /// @brief Takes one out that will not go: done, cancelled or out of time.
   /// @complexity linear in what its subscriber has waiting
   bool Remove(RequestId request);
 
-  std::size_t size() const { return where_.size(); }
-  bool empty() const { return where_.empty(); }
+  std::size_t size() const { return subscriber_of_request_.size(); }
+  bool empty() const { return subscriber_of_request_.empty(); }
 
   /// @brief Cost units that wait.
   double waiting_cost() const { return waiting_cost_; }
 
  private:
-  /// Place of a line among its like. A rank only grows between two full
+  /// Place of a organisation among its like. A rank only grows between two full
   /// rankings, but for corrections of a little: a key that is out of date
-  /// stands too early, and is put right when its line comes first.
-  template <typename Line>
+  /// stands too early, and is put right when its organisation comes first.
+  template <typename Queue>
   struct Key {
     double rank;
-    std::uint64_t order;  ///< of the lines' making, for equal ranks
-    Line* line;
+    std::uint64_t sequence;  ///< of the lines' making, for equal ranks
+    Queue* queue;
 
     bool operator<(const Key& other) const {
-      return std::pair(rank, order) < std::pair(other.rank, other.order);
+      return std::pair(rank, sequence) < std::pair(other.rank, other.sequence);
     }
   };
-  template <typename Line>
-  using Ranking = std::set<Key<Line>>;
+  template <typename Queue>
+  using Ranking = std::set<Key<Queue>>;
 
-  struct SubscriberLine {
+  struct SubscriberQueue {
     std::string name;
     std::list<Waiter> waiters;
-    Ranking<SubscriberLine>::iterator place;
+    Ranking<SubscriberQueue>::iterator position;
   };
-  struct OrganisationLine {
+  struct OrganisationQueue {
     std::string name;
     double weight = 1;
-    std::unordered_map<std::string, SubscriberLine> subscribers;
-    Ranking<SubscriberLine> ranking;
-    Ranking<OrganisationLine>::iterator place;
+    std::unordered_map<std::string, SubscriberQueue> subscribers;
+    Ranking<SubscriberQueue> ranking;
+    Ranking<OrganisationQueue>::iterator position;
   };
-  using Ask = std::function<bool(const Waiter&)>;
-  using Found = std::optional<std::list<Waiter>::iterator>;
-
-  double RankOf(const OrganisationLine& line) const;
-  double RankOf(const OrganisationLine& line, const SubscriberLine& part) const;
-  OrganisationLine& LineOf(const Waiter& waiter, const std::string& name);
-  SubscriberLine& PartOf(OrganisationLine& line, const std::string& name);
-  void RankAgainIfDue(TimePoint now);
-  void RankAgain(OrganisationLine& line);
-  Found FindIn(OrganisationLine& line,
-               const Ask& may_go,
-               const Ask& held,
-               std::size_t& asked_left);
+  using Predicate = std::function<bool(const Waiter&)>;
+  using FoundWaiter = std::optional<std::list<Waiter>::iterator>;
+
+  double RankOf(const OrganisationQueue& organisation) const;
+  double RankOf(const OrganisationQueue& organisation,
+                const SubscriberQueue& subscriber) const;
+  OrganisationQueue& FindOrAddOrganisation(const Waiter& waiter,
+                                           const std::string& name);
+  SubscriberQueue& FindOrAddSubscriber(OrganisationQueue& organisation,
+                                       const std::string& name);
+  void UpdateRanksIfDue(TimePoint now);
+  void UpdateRanks(OrganisationQueue& organisation);
+  FoundWaiter FindWaiter(OrganisationQueue& organisation,
+                         const Predicate& can_start,
+                         const Predicate& skip,
+                         std::size_t& checks_left);
   Waiter Take(std::list<Waiter>::iterator waiter);
 
   UsageLedger& ledger_;
   QueueOrder order_;
-  std::unordered_map<std::string, OrganisationLine> organisations_;
-  Ranking<OrganisationLine> ranking_;
-  std::unordered_map<RequestId, SubscriberName> where_;
+  std::unordered_map<std::string, OrganisationQueue> organisations_;
+  Ranking<OrganisationQueue> ranking_;
+  std::unordered_map<RequestId, SubscriberName> subscriber_of_request_;
   double waiting_cost_ = 0;
-  std::uint64_t next_order_ = 0;
-  std::uint64_t ranked_epoch_ = 0;
-  TimePoint ranked_at_{};
+  std::uint64_t next_sequence_ = 0;
+  std::uint64_t ranks_epoch_ = 0;
+  TimePoint ranks_updated_at_{};
 };
 
 }  // namespace gentianroute
--- a/packages/decision/include/gentianroute/decision/request.h
+++ b/packages/decision/include/gentianroute/decision/request.h
@@ -45,22 +45,23 @@
   TimePoint deadline{};
   UnixMicros arrived_wall = 0;
   std::string claim_token;           ///< empty: no claim
-  bool claim_stands = false;         ///< the store confirmed the token
-  bool key_read = false;             ///< the store told of the key's row
+  bool claim_confirmed = false;      ///< the store confirmed the token
+  bool key_row_read = false;         ///< the store told of the key's row
   std::string holder_token;          ///< whose key it is, while joining
   std::uint64_t holder_version = 0;  ///< of the row as read
   bool caller_gone = false;
 
   std::size_t stage_index = 0;
   TimePoint queued_at{};
-  TimePoint isolate_until{};     ///< how long it may wait to keep crashes apart
-  bool isolation_timed = false;  ///< a timer of that is armed
-  std::vector<AttemptId> attempts;     ///< in flight, of this stage
-  std::vector<ServerRef> tried;        ///< by this stage
-  std::uint32_t attempts_made = 0;     ///< by this stage
-  std::uint32_t attempts_excused = 0;  ///< of them, ended by another's crash
-  std::uint32_t connect_failures = 0;  ///< by this stage
-  bool stage_maybe_run = false;        ///< a call of it may have run
+  TimePoint
+      isolation_deadline{};  ///< how long it may wait to keep crashes apart
+  bool isolation_timer_armed = false;    ///< a timer of that is armed
+  std::vector<AttemptId> attempts;       ///< in flight, of this stage
+  std::vector<ServerRef> tried_servers;  ///< by this stage
+  std::uint32_t attempts_made = 0;       ///< by this stage
+  std::uint32_t attempts_exempted = 0;   ///< of them, ended by another's crash
+  std::uint32_t connect_failures = 0;    ///< by this stage
+  bool stage_maybe_run = false;          ///< a call of it may have run
   std::uint64_t offset = 0;  ///< tokens received of this stage's stream
   std::string streamed;      ///< their text
   TimePoint first_token_at{};
@@ -75,7 +76,7 @@
   /// @brief Whether no earlier arrival of its key can be hidden from it.
   bool KeyChecked() const {
     const bool has_effect = profile == nullptr || profile->HasEffect();
-    return submission.key.empty() || !has_effect || key_read;
+    return submission.key.empty() || !has_effect || key_row_read;
   }
   const StageSpec& stage() const { return profile->stages[stage_index]; }
   bool OnLastStage() const { return stage_index + 1 == profile->stages.size(); }
--- a/packages/decision/include/gentianroute/decision/dispatch_pace.h
+++ b/packages/decision/include/gentianroute/decision/wait_estimator.h
@@ -1,5 +1,5 @@
-#ifndef GENTIANROUTE_DECISION_DISPATCH_PACE_H_
-#define GENTIANROUTE_DECISION_DISPATCH_PACE_H_
+#ifndef GENTIANROUTE_DECISION_WAIT_ESTIMATOR_H_
+#define GENTIANROUTE_DECISION_WAIT_ESTIMATOR_H_
 
 #include <cstddef>
 
@@ -11,7 +11,7 @@
 ///
 /// Slots and service times don't tell: other daemons use the same servers. The
 /// time between two starts does, while something waits in between.
-class DispatchPace {
+class WaitEstimator {
  public:
   /// @param waiting whether others still wait after this start
   void OnStart(TimePoint now, bool waiting) {
@@ -24,7 +24,7 @@
   }
 
   /// @return how long the last of so many will wait; zero while unknown
-  Duration WaitFor(std::size_t waiters) const {
+  Duration EstimateWait(std::size_t waiters) const {
     const double seconds = interval_ * static_cast<double>(waiters);
     return Duration(static_cast<std::int64_t>(seconds * 1e6));
   }
@@ -39,4 +39,4 @@
 
 }  // namespace gentianroute
 
-#endif  // GENTIANROUTE_DECISION_DISPATCH_PACE_H_
+#endif  // GENTIANROUTE_DECISION_WAIT_ESTIMATOR_H_
--- a/packages/decision/src/attempt.cc
+++ b/packages/decision/src/attempt.cc
@@ -5,8 +5,9 @@
 namespace gentianroute {
 namespace {
 
-// failure, name, may_have_run, blames_server, worth_repeating, condemns_others
-constexpr auto kMeanings = std::to_array<FailureMeaning>({
+// failure, name, may_have_run, counts_against_server, retryable,
+// invalidates_connections
+constexpr auto kFailureTraits = std::to_array<FailureTraits>({
     {AttemptFailure::kConnect, "connect", false, true, true, false},
     {AttemptFailure::kRefused, "refused", false, false, true, false},
     {AttemptFailure::kLeaving, "leaving", false, false, true, false},
@@ -20,8 +21,8 @@
 });
 
 constexpr bool InOrder() {
-  for (std::size_t i = 0; i < kMeanings.size(); ++i) {
-    if (static_cast<std::size_t>(kMeanings[i].failure) != i) {
+  for (std::size_t i = 0; i < kFailureTraits.size(); ++i) {
+    if (static_cast<std::size_t>(kFailureTraits[i].failure) != i) {
       return false;
     }
   }
@@ -31,8 +32,8 @@
 
 }  // namespace
 
-const FailureMeaning& MeaningOf(AttemptFailure failure) {
-  return kMeanings[static_cast<std::size_t>(failure)];
+const FailureTraits& TraitsOf(AttemptFailure failure) {
+  return kFailureTraits[static_cast<std::size_t>(failure)];
 }
 
 }  // namespace gentianroute
--- a/packages/decision/src/claim_ledger.cc
+++ b/packages/decision/src/claim_ledger.cc
@@ -55,20 +55,21 @@
   const auto found = entries_.find(token);
   GR_INVARIANT(found != entries_.end());
   Entry& entry = found->second;
-  GR_INVARIANT(entry.phase == Phase::kStanding);
+  GR_INVARIANT(entry.phase == Phase::kHeld);
   GR_INVARIANT(state != ClaimState::kClaimed);
   entry.phase = Phase::kSettling;
   entry.claim.state = state;
   entry.claim.status = status;
   entry.claim.answer = answer;
   entry.due = now;
-  entry.give_up = now + options_.settle_for;
+  entry.settle_deadline = now + options_.settle_timeout;
 }
 
 void ClaimLedger::Advance(TimePoint now) {
   for (auto entry = entries_.begin(); entry != entries_.end();) {
     const bool expired = entry->second.phase == Phase::kSettling &&
-                         !entry->second.in_step && now >= entry->second.give_up;
+                         !entry->second.in_flight &&
+                         now >= entry->second.settle_deadline;
     // The row stays "claimed": a resend is told that the outcome is unknown,
     // which is the truth for everyone but this daemon.
     entry = expired ? entries_.erase(entry) : std::next(entry);
@@ -79,26 +80,26 @@
 void ClaimLedger::LeaveClaimed(std::string_view token) {
   const auto found = entries_.find(token);
   GR_INVARIANT(found != entries_.end());
-  GR_INVARIANT(found->second.phase == Phase::kStanding);
+  GR_INVARIANT(found->second.phase == Phase::kHeld);
   entries_.erase(found);
 }
 
 void ClaimLedger::Flush(TimePoint now) {
-  ClaimStep write;
-  ClaimStep read;
-  read.kind = ClaimStep::Kind::kRead;
+  ClaimOperation write;
+  ClaimOperation read;
+  read.kind = ClaimOperation::Kind::kRead;
   std::vector<std::string> written;
   std::vector<std::string> read_back;
   std::set<TableKey> keys;
   for (auto& [token, entry] : entries_) {
-    if (entry.in_step || entry.phase == Phase::kStanding || entry.due > now) {
+    if (entry.in_flight || entry.phase == Phase::kHeld || entry.due > now) {
       continue;
     }
     const TableKey key = KeyOf(entry.claim);
     if (entry.phase == Phase::kReading) {
       read.reads.push_back(key);
       read_back.push_back(token);
-      entry.in_step = true;
+      entry.in_flight = true;
       continue;
     }
     // One transaction can't hold two writes of one row: the second waits for
@@ -112,38 +113,39 @@
     write.transaction.conditions.push_back({key, entry.version});
     write.transaction.writes.push_back({key, codec_.Encode(entry.claim)});
     written.push_back(token);
-    entry.in_step = true;
+    entry.in_flight = true;
   }
   Emit(std::move(write), std::move(written));
   Emit(std::move(read), std::move(read_back));
 }
 
-void ClaimLedger::Emit(ClaimStep step, std::vector<std::string> tokens) {
+void ClaimLedger::Emit(ClaimOperation operation,
+                       std::vector<std::string> tokens) {
   if (tokens.empty()) {
     return;
   }
-  step.step = next_step_++;
-  steps_in_flight_[step.step] = std::move(tokens);
-  steps_.push_back(std::move(step));
+  operation.id = next_operation_++;
+  operations_in_flight_[operation.id] = std::move(tokens);
+  operations_.push_back(std::move(operation));
 }
 
-std::vector<std::string> ClaimLedger::TakeTokens(std::uint64_t step) {
-  const auto found = steps_in_flight_.find(step);
-  if (found == steps_in_flight_.end()) {
+std::vector<std::string> ClaimLedger::TakeTokens(std::uint64_t operation) {
+  const auto found = operations_in_flight_.find(operation);
+  if (found == operations_in_flight_.end()) {
     return {};  // answered twice; the first answer counted
   }
   std::vector<std::string> tokens = std::move(found->second);
-  steps_in_flight_.erase(found);
+  operations_in_flight_.erase(found);
   for (const std::string& token : tokens) {
-    entries_.at(token).in_step = false;
+    entries_.at(token).in_flight = false;
   }
   return tokens;
 }
 
 void ClaimLedger::OnTransacted(TimePoint now,
-                               std::uint64_t step,
+                               std::uint64_t operation,
                                const TransactResult& result) {
-  const std::vector<std::string> tokens = TakeTokens(step);
+  const std::vector<std::string> tokens = TakeTokens(operation);
   for (std::size_t i = 0; i < tokens.size(); ++i) {
     const auto entry = entries_.find(tokens[i]);
     if (result.status == TableStatus::kCommitted) {
@@ -151,7 +153,7 @@
       if (entry->second.phase == Phase::kSettling) {
         entries_.erase(entry);
       } else {
-        Stand(entry, result.versions[i]);
+        Confirm(entry, result.versions[i]);
       }
       continue;
     }
@@ -211,7 +213,7 @@
     return;
   }
   if (ours) {
-    Stand(entry, row.version);
+    Confirm(entry, row.version);
     return;
   }
   const bool free = row.version == 0 || (holder.has_value() &&
@@ -231,9 +233,9 @@
 }
 
 void ClaimLedger::OnRead(TimePoint now,
-                         std::uint64_t step,
+                         std::uint64_t operation,
                          const ReadResult& result) {
-  for (const std::string& token : TakeTokens(step)) {
+  for (const std::string& token : TakeTokens(operation)) {
     const auto entry = entries_.find(token);
     if (!result.answered) {
       Entry& claim = entry->second;
@@ -256,7 +258,7 @@
   const std::optional<Claim> holder =
       row == nullptr ? std::nullopt : codec_.Decode(row->value);
   if (holder.has_value() && holder->token == entry->second.claim.token) {
-    Stand(entry, row->version);
+    Confirm(entry, row->version);
     return;
   }
   const bool taken = holder.has_value() && holder->state != ClaimState::kNotRun;
@@ -270,42 +272,42 @@
   Conclude(entry, ClaimOutcome::kUnavailable);
 }
 
-void ClaimLedger::Stand(Entries::iterator entry, std::uint64_t version) {
-  entry->second.phase = Phase::kStanding;
+void ClaimLedger::Confirm(Entries::iterator entry, std::uint64_t version) {
+  entry->second.phase = Phase::kHeld;
   entry->second.version = version;
-  verdicts_.push_back(
-      {entry->second.request, ClaimOutcome::kStands, entry->first, {}, 0});
+  results_.push_back(
+      {entry->second.request, ClaimOutcome::kConfirmed, entry->first, {}, 0});
 }
 
 void ClaimLedger::Conclude(Entries::iterator entry, ClaimOutcome outcome) {
-  verdicts_.push_back({entry->second.request, outcome, entry->first, {}, 0});
+  results_.push_back({entry->second.request, outcome, entry->first, {}, 0});
   entries_.erase(entry);
 }
 
 void ClaimLedger::ConcludeTaken(Entries::iterator entry,
                                 Claim holder,
                                 std::uint64_t version) {
-  verdicts_.push_back({entry->second.request, ClaimOutcome::kTaken,
-                       entry->first, std::move(holder), version});
+  results_.push_back({entry->second.request, ClaimOutcome::kTaken, entry->first,
+                      std::move(holder), version});
   entries_.erase(entry);
 }
 
 TimePoint ClaimLedger::NextDue() const {
   TimePoint due = kNever;
   for (const auto& [token, entry] : entries_) {
-    if (!entry.in_step && entry.phase != Phase::kStanding) {
+    if (!entry.in_flight && entry.phase != Phase::kHeld) {
       due = std::min(due, entry.due);
     }
   }
   return due;
 }
 
-std::vector<ClaimStep> ClaimLedger::TakeSteps() {
-  return std::exchange(steps_, {});
+std::vector<ClaimOperation> ClaimLedger::TakeOperations() {
+  return std::exchange(operations_, {});
 }
 
-std::vector<ClaimVerdict> ClaimLedger::TakeVerdicts() {
-  return std::exchange(verdicts_, {});
+std::vector<ClaimResult> ClaimLedger::TakeResults() {
+  return std::exchange(results_, {});
 }
 
 }  // namespace gentianroute
--- a/packages/decision/src/coordinator.cc
+++ b/packages/decision/src/coordinator.cc
@@ -37,7 +37,7 @@
   request.arrived = now;
   request.arrived_wall = wall;
   Admit(now, request);
-  DispatchFreed(now);
+  DispatchFreedPools(now);
   return id;
 }
 
@@ -60,7 +60,7 @@
                                : longest;
   request.deadline = now + allowed;
   std::string detail;
-  const std::optional<ErrorKind> refusal = RefusalOf(now, request, detail);
+  const std::optional<ErrorKind> refusal = CheckAdmission(now, request, detail);
   if (refusal.has_value()) {
     Finish(now, request, refusal, std::move(detail), {}, false);
     return;
@@ -74,7 +74,7 @@
 }
 
 void Coordinator::Begin(TimePoint now, Request& request) {
-  const StageSpec* dark = DarkStage(now, request);
+  const StageSpec* dark = FindFailingStage(now, request);
   if (dark == nullptr) {
     EnterStage(now, request);
     return;
@@ -86,7 +86,8 @@
          {}, false);
 }
 
-const StageSpec* Coordinator::DarkStage(TimePoint now, const Request& request) {
+const StageSpec* Coordinator::FindFailingStage(TimePoint now,
+                                               const Request& request) {
   if (!options_.refuse_early) {
     return nullptr;
   }
@@ -107,9 +108,9 @@
   return nullptr;
 }
 
-std::optional<ErrorKind> Coordinator::RefusalOf(TimePoint now,
-                                                const Request& request,
-                                                std::string& detail) {
+std::optional<ErrorKind> Coordinator::CheckAdmission(TimePoint now,
+                                                     const Request& request,
+                                                     std::string& detail) {
   if (suspects_.IsQuarantined(now, request.submission.fingerprint)) {
     detail = "this request crashed the backend servers that ran it";
     return ErrorKind::kQuarantined;
@@ -128,10 +129,10 @@
     detail = std::to_string(queued()) + " requests wait";
     return ErrorKind::kOverloaded;
   }
-  const Duration rest = ExpectedRest(request);
+  const Duration rest = ExpectedRemaining(request);
   const Duration left = request.deadline - now;
   if (options_.refuse_early &&
-      Seconds(left) < options_.least_time * Seconds(rest)) {
+      Seconds(left) < options_.min_time_ratio * Seconds(rest)) {
     detail = std::to_string(request.profile->stages.size()) + " stages need " +
              std::to_string(rest.count() / 1000) + " ms, " +
              std::to_string(left.count() / 1000) + " ms are left";
@@ -145,31 +146,32 @@
 }
 
 bool Coordinator::WouldWaitTooLong(TimePoint now, const Request& request) {
-  const Duration slack = request.deadline - now - ExpectedRest(request);
+  const Duration slack = request.deadline - now - ExpectedRemaining(request);
   for (const StageSpec& stage : request.profile->stages) {
     const auto queue = queues_.find(stage.pool);
     if (queue == queues_.end() || queue->second.empty()) {
       continue;
     }
-    const Duration wait = paces_[stage.pool].WaitFor(queue->second.size());
+    const Duration wait =
+        wait_estimators_[stage.pool].EstimateWait(queue->second.size());
     if (wait > slack &&
-        queue->second.WouldBeWorst(now, WaiterOf(request, stage))) {
+        queue->second.WouldBeLowestPriority(now, WaiterOf(request, stage))) {
       return true;
     }
   }
   return false;
 }
 
-Duration Coordinator::Expected(const StageSpec& stage) const {
-  const auto found = measured_.find(stage.pool);
-  return found == measured_.end() ? stage.expected : found->second;
+Duration Coordinator::ExpectedDuration(const StageSpec& stage) const {
+  const auto found = mean_call_durations_.find(stage.pool);
+  return found == mean_call_durations_.end() ? stage.expected : found->second;
 }
 
-Duration Coordinator::ExpectedRest(const Request& request) const {
+Duration Coordinator::ExpectedRemaining(const Request& request) const {
   Duration rest{0};
   const auto& stages = request.profile->stages;
   for (std::size_t i = request.stage_index; i < stages.size(); ++i) {
-    rest += Expected(stages[i]);
+    rest += ExpectedDuration(stages[i]);
   }
   return rest;
 }
@@ -189,7 +191,7 @@
   const ErrorKind kind = request.MayHaveRun() ? ErrorKind::kDeadlineExceeded
                                               : ErrorKind::kDeadlineBeforeStart;
   Finish(now, request, kind, "the caller has gone", {}, false);
-  DispatchFreed(now);
+  DispatchFreedPools(now);
 }
 
 // --- Ends -------------------------------------------------------------------
@@ -242,7 +244,7 @@
   }
   ++(error.has_value() ? counters_.failed : counters_.answered);
   const std::string token = request.claim_token;
-  const bool stood = request.claim_stands;
+  const bool stood = request.claim_confirmed;
   const RequestId id = request.id;
   JoinOutcome outcome{JoinState::kFinished, finish.error, finish.body};
   actions_.push_back(std::move(finish));
@@ -252,7 +254,7 @@
       outcome = {JoinState::kAbandoned, std::nullopt, {}};
     }
     live_tokens_.erase(token);
-    Remember(now, token, outcome);
+    RecordOutcome(now, token, outcome);
   }
 }
 
@@ -269,9 +271,9 @@
 
 void Coordinator::Advance(TimePoint now) {
   static constexpr std::array<TimerHandler, 6> kHandlers = {
-      &Coordinator::OnDeadline, &Coordinator::OnTooLate,
-      &Coordinator::OnSilence,  &Coordinator::OnHedge,
-      &Coordinator::OnBackOff,  &Coordinator::OnIsolationOver};
+      &Coordinator::OnDeadline,        &Coordinator::OnLatestStart,
+      &Coordinator::OnNextByteTimeout, &Coordinator::OnHedge,
+      &Coordinator::OnBackOff,         &Coordinator::OnIsolationTimeout};
   while (!timers_.empty() && timers_.top().due <= now) {
     const Timer timer = timers_.top();
     timers_.pop();
@@ -279,7 +281,7 @@
         kHandlers[static_cast<std::size_t>(timer.kind)];
     (this->*handler)(now, timer.id);
   }
-  DispatchFreed(now);
+  DispatchFreedPools(now);
 }
 
 void Coordinator::OnDeadline(TimePoint now, std::uint64_t id) {
@@ -301,20 +303,20 @@
   Finish(now, request, kind, detail, {}, false);
 }
 
-void Coordinator::OnTooLate(TimePoint now, std::uint64_t id) {
+void Coordinator::OnLatestStart(TimePoint now, std::uint64_t id) {
   const auto found = requests_.find(RequestId{id});
   if (found == requests_.end() ||
       found->second.phase != RequestPhase::kQueued) {
     return;
   }
   Request& request = found->second;
-  const Duration rest = ExpectedRest(request);
+  const Duration rest = ExpectedRemaining(request);
   const TimePoint latest =
       request.deadline -
       Duration(static_cast<std::int64_t>(static_cast<double>(rest.count()) *
-                                         options_.least_time));
+                                         options_.min_time_ratio));
   if (now < latest) {
-    Arm(latest, TimerKind::kTooLate, id);
+    Arm(latest, TimerKind::kLatestStart, id);
     return;
   }
   OnDeadline(now, id);
--- a/packages/decision/src/coordinator_answers.cc
+++ b/packages/decision/src/coordinator_answers.cc
@@ -12,7 +12,7 @@
 
 constexpr int kStatusOk = 200;
 constexpr int kFirstServerError = 500;
-constexpr double kMeasureWeight = 0.1;
+constexpr double kDurationWeight = 0.1;
 
 AttemptFailure FailureOf(const AttemptAnswer& answer) {
   if (answer.leaving && answer.not_run) {
@@ -42,7 +42,7 @@
               "the answer names another attempt");
     return;
   }
-  OnSignOfLife(now, found->second);
+  OnServerResponding(now, found->second);
   Server& server = *found->second.server;
   if (answer.has_load) {
     servers_.OnLoadReport(now, server, answer.load);
@@ -55,16 +55,16 @@
               "status " + std::to_string(answer.status));
     return;
   }
-  const Attempt attempt = Detach(answer.attempt);
+  const Attempt attempt = RemoveAttempt(answer.attempt);
   servers_.OnSuccess(now, server, now - attempt.started);
   Request& request = requests_.at(attempt.request);
-  BudgetOf(request.stage().pool).OnSuccess();
+  RetryBudgetOf(request.stage().pool).OnSuccess();
   pool_health_[request.stage().pool].OnAnswer();
   std::string result = request.stage().streams
                            ? detail::QuoteText(request.streamed)
                            : std::move(answer.body);
   CompleteStage(now, request, std::move(result), answer, attempt);
-  DispatchFreed(now);
+  DispatchFreedPools(now);
 }
 
 void Coordinator::CompleteStage(TimePoint now,
@@ -80,9 +80,10 @@
   report.cost = stage.cost_per_call * report.attempts +
                 stage.cost_per_unit * static_cast<std::int64_t>(answer.units);
   const Duration took = now - attempt.started;
-  Duration& measured = measured_.try_emplace(stage.pool, took).first->second;
+  Duration& measured =
+      mean_call_durations_.try_emplace(stage.pool, took).first->second;
   measured += Duration(static_cast<std::int64_t>(
-      kMeasureWeight * static_cast<double>((took - measured).count())));
+      kDurationWeight * static_cast<double>((took - measured).count())));
   usage_.Charge(now, request.submission.organisation,
                 request.submission.subscriber,
                 Seconds(took) - Seconds(measured));
@@ -113,9 +114,9 @@
     return;
   }
   Attempt& attempt = found->second;
-  OnSignOfLife(now, attempt);
+  OnServerResponding(now, attempt);
   Request& request = requests_.at(attempt.request);
-  attempt.silent_at = now + request.stage().first_byte_timeout;
+  attempt.next_byte_deadline = now + request.stage().first_byte_timeout;
   if (chunk.offset < request.offset) {
     ++counters_.duplicate_tokens;  // resumed a little early, or hedged
     return;
@@ -133,7 +134,7 @@
   // One text comes from one engine: the other side of a hedge may word it
   // differently, and its tokens would be mixed in.
   CancelOthers(request, chunk.attempt);
-  DispatchFreed(now);
+  DispatchFreedPools(now);
   if (!request.OnLastStage()) {
     return;
   }
@@ -158,17 +159,17 @@
     // Bytes went out, so "no connection" can't mean that nothing ran.
     failure = AttemptFailure::kReset;
   }
-  const FailureMeaning& meaning = MeaningOf(failure);
+  const FailureTraits& meaning = TraitsOf(failure);
   if (failure == AttemptFailure::kReset && found->second.written) {
     OnReset(now, found->second);
   }
   if (failure == AttemptFailure::kConnect) {
     suspects_.OnServerDown(now, found->second.server->host.name);
   }
-  const Attempt attempt = Detach(id);
+  const Attempt attempt = RemoveAttempt(id);
   Server& server = *attempt.server;
   PoolHealth& health = pool_health_[server.host.pool];
-  if (meaning.blames_server) {
+  if (meaning.counts_against_server) {
     servers_.OnFailure(now, server, failure == AttemptFailure::kConnect);
     health.OnFailure(now);
   } else {
@@ -179,7 +180,7 @@
     servers_.MarkLeaving(server.host.name, server.host.incarnation);
   }
   actions_.push_back(
-      CancelAttempt{id, attempt.server, meaning.condemns_others,
+      CancelAttempt{id, attempt.server, meaning.invalidates_connections,
                     std::string(meaning.name) + ": " + std::string(detail)});
   Request& request = requests_.at(attempt.request);
   if (attempt.written && !meaning.may_have_run) {
@@ -192,15 +193,15 @@
     // The other one's crash. Counted here, a neighbour that meets all crashes
     // of the guilty one would be lost with it. What keeps a guilty neighbour
     // from crashing on is quarantine, which counts each crash of everyone.
-    ++request.attempts_excused;
+    ++request.attempts_exempted;
   }
   if (request.attempts.empty()) {  // otherwise the hedge goes on
     Retry(now, request, failure, detail);
   }
-  DispatchFreed(now);
+  DispatchFreedPools(now);
 }
 
-RetryBudget& Coordinator::BudgetOf(const std::string& pool) {
+RetryBudget& Coordinator::RetryBudgetOf(const std::string& pool) {
   return budgets_.try_emplace(pool, options_.retry_budget).first->second;
 }
 
@@ -209,13 +210,13 @@
                         AttemptFailure failure,
                         std::string_view detail) {
   const StageSpec& stage = request.stage();
-  const FailureMeaning& meaning = MeaningOf(failure);
+  const FailureTraits& meaning = TraitsOf(failure);
   const bool harmless = !meaning.may_have_run || stage.MayRepeat();
   const bool quarantined =
       suspects_.IsQuarantined(now, request.submission.fingerprint);
   bool again =
-      harmless && meaning.worth_repeating && !quarantined &&
-      request.attempts_made - request.attempts_excused < stage.max_attempts;
+      harmless && meaning.retryable && !quarantined &&
+      request.attempts_made - request.attempts_exempted < stage.max_attempts;
   // A crash hits a whole batch at once, and until health notices, the server
   // that is down refuses connections faster than the live ones answer. Innocent
   // requests must not be lost to an empty budget for either: isolation bounds
@@ -223,7 +224,7 @@
   const bool free = failure == AttemptFailure::kReset ||
                     failure == AttemptFailure::kConnect ||
                     failure == AttemptFailure::kLeaving;
-  if (again && !free && !BudgetOf(stage.pool).TryTake()) {
+  if (again && !free && !RetryBudgetOf(stage.pool).TryTake()) {
     ++counters_.retries_denied;
     again = false;
   }
@@ -235,7 +236,7 @@
   if (again && suspects_.IsAccused(now, request.submission.fingerprint)) {
     ++counters_.retries;
     request.phase = RequestPhase::kQueued;
-    Arm(now + kAccusedRetry, TimerKind::kBackOff, request.id.value);
+    Arm(now + kAccusedRetryInterval, TimerKind::kBackOff, request.id.value);
     return;
   }
   if (again) {
@@ -247,7 +248,7 @@
   Finish(now, request, KindOfFailure(request),
          "stage '" + stage.name + "' failed " +
              std::to_string(request.attempts_made) + " times, last: " +
-             MeaningOf(failure).name + ": " + std::string(detail),
+             TraitsOf(failure).name + ": " + std::string(detail),
          {}, false);
 }
 
@@ -262,15 +263,15 @@
                             : ErrorKind::kStageFailed;
 }
 
-void Coordinator::OnSilence(TimePoint now, std::uint64_t id) {
+void Coordinator::OnNextByteTimeout(TimePoint now, std::uint64_t id) {
   const auto found = attempts_.find(AttemptId{id});
   if (found == attempts_.end()) {
     return;
   }
-  if (found->second.silent_at > now) {
+  if (found->second.next_byte_deadline > now) {
     // Tokens have come since. Each call has one such timer, which moves on when
     // it is due: one a token would pile up by the thousand.
-    Arm(found->second.silent_at, TimerKind::kSilence, id);
+    Arm(found->second.next_byte_deadline, TimerKind::kNextByteTimeout, id);
     return;
   }
   OnFailure(now, AttemptId{id}, AttemptFailure::kTimeout, "no byte in time");
@@ -289,11 +290,11 @@
   }
   ServerRef server;
   // After a pause this timer may run before the deadline's.
-  if (IsPastHope(now, request) || IsHeld(now, request) ||
-      !MayGo(now, request, server) || server == found->second.server) {
+  if (MustRefuse(now, request) || IsHeld(now, request) ||
+      !TryPickServer(now, request, server) || server == found->second.server) {
     return;
   }
-  if (!BudgetOf(request.stage().pool).TryTake()) {
+  if (!RetryBudgetOf(request.stage().pool).TryTake()) {
     return;
   }
   ++counters_.hedges;
--- a/packages/decision/src/coordinator_claims.cc
+++ b/packages/decision/src/coordinator_claims.cc
@@ -19,19 +19,19 @@
   live_tokens_[request.claim_token] = request.id;
 }
 
-void Coordinator::PumpClaims(TimePoint now) {
+void Coordinator::ProcessClaims(TimePoint now) {
   claims_.Advance(now);
-  for (const ClaimVerdict& verdict : claims_.TakeVerdicts()) {
-    OnVerdict(now, verdict);
+  for (const ClaimResult& verdict : claims_.TakeResults()) {
+    OnClaimResult(now, verdict);
   }
 }
 
-void Coordinator::OnVerdict(TimePoint now, const ClaimVerdict& verdict) {
+void Coordinator::OnClaimResult(TimePoint now, const ClaimResult& verdict) {
   const auto found = requests_.find(verdict.request);
   if (found == requests_.end()) {
     // Its deadline passed while the store was asked. Nothing was sent, so the
     // key is given back and the caller's next try may run.
-    if (verdict.outcome == ClaimOutcome::kStands) {
+    if (verdict.outcome == ClaimOutcome::kConfirmed) {
       claims_.Settle(now, verdict.token, ClaimState::kNotRun, 0, {});
     }
     return;
@@ -39,10 +39,10 @@
   Request& request = found->second;
   GR_INVARIANT(request.phase == RequestPhase::kClaiming);
   GR_INVARIANT(request.claim_token == verdict.token);
-  request.key_read |= verdict.outcome != ClaimOutcome::kUnavailable;
+  request.key_row_read |= verdict.outcome != ClaimOutcome::kUnavailable;
   switch (verdict.outcome) {
-    case ClaimOutcome::kStands:
-      request.claim_stands = true;
+    case ClaimOutcome::kConfirmed:
+      request.claim_confirmed = true;
       Begin(now, request);
       break;
     case ClaimOutcome::kUnavailable:
@@ -58,15 +58,15 @@
 }
 
 void Coordinator::AbandonToken(TimePoint now, Request& request) {
-  GR_INVARIANT(!request.claim_stands);
+  GR_INVARIANT(!request.claim_confirmed);
   const std::string token = std::exchange(request.claim_token, {});
   live_tokens_.erase(token);
-  Remember(now, token, {JoinState::kAbandoned, std::nullopt, {}});
+  RecordOutcome(now, token, {JoinState::kAbandoned, std::nullopt, {}});
 }
 
 void Coordinator::OnKeyTaken(TimePoint now,
                              Request& request,
-                             const ClaimVerdict& verdict) {
+                             const ClaimResult& verdict) {
   const Claim& holder = verdict.holder;
   if (holder.body_digest != request.submission.body_digest) {
     Finish(
@@ -87,18 +87,18 @@
     joins_[holder.token].requests.push_back(request.id);
     return;
   }
-  const JoinOutcome outcome = Recall(holder.token);
+  const JoinOutcome outcome = FindOutcome(holder.token);
   if (outcome.state != JoinState::kUnknown) {
     FinishJoined(now, request, outcome);
     return;
   }
-  actions_.push_back(AskClaimer{request.id, holder});
+  actions_.push_back(QueryClaimHolder{request.id, holder});
 }
 
-void Coordinator::OnClaimerAnswered(TimePoint now,
-                                    RequestId id,
-                                    std::string_view token,
-                                    const JoinOutcome& outcome) {
+void Coordinator::OnClaimHolderAnswered(TimePoint now,
+                                        RequestId id,
+                                        std::string_view token,
+                                        const JoinOutcome& outcome) {
   const auto found = requests_.find(id);
   // An answer that comes twice, or after the request has met another holder,
   // says nothing of that one: "abandoned" would take over a token that runs.
@@ -139,12 +139,12 @@
     joins_[std::string(token)].peers.push_back(join);
     return join;
   }
-  actions_.push_back(AnswerJoin{join, Recall(token)});
+  actions_.push_back(AnswerJoin{join, FindOutcome(token)});
   return join;
 }
 
-JoinOutcome Coordinator::Recall(std::string_view token) const {
-  for (const Remembered& remembered : remembered_) {
+JoinOutcome Coordinator::FindOutcome(std::string_view token) const {
+  for (const FinishedClaim& remembered : finished_claims_) {
     if (remembered.token == token) {
       return remembered.outcome;
     }
@@ -153,12 +153,12 @@
   return {JoinState::kUnknown, std::nullopt, {}};
 }
 
-void Coordinator::Remember(TimePoint now,
-                           const std::string& token,
-                           const JoinOutcome& outcome) {
-  remembered_.push_back({token, outcome});
-  if (remembered_.size() > options_.max_remembered) {
-    remembered_.pop_front();
+void Coordinator::RecordOutcome(TimePoint now,
+                                const std::string& token,
+                                const JoinOutcome& outcome) {
+  finished_claims_.push_back({token, outcome});
+  if (finished_claims_.size() > options_.max_kept_outcomes) {
+    finished_claims_.pop_front();
   }
   const auto found = joins_.find(token);
   if (found == joins_.end()) {
@@ -181,7 +181,7 @@
                               const Request& request,
                               std::optional<ErrorKind> error,
                               const std::string& body) {
-  if (!request.claim_stands) {
+  if (!request.claim_confirmed) {
     return;
   }
   if (!error.has_value()) {
--- a/packages/decision/src/coordinator_dispatch.cc
+++ b/packages/decision/src/coordinator_dispatch.cc
@@ -13,7 +13,7 @@
 namespace {
 
 /// Waiters asked per dispatch before the pool counts as busy.
-constexpr std::size_t kMaxAsked = 16;
+constexpr std::size_t kMaxWaitersChecked = 16;
 
 void Append(std::vector<ServerRef>& to, const std::vector<ServerRef>& from) {
   to.insert(to.end(), from.begin(), from.end());
@@ -30,23 +30,24 @@
   while (!found->second.empty()) {
     ServerRef server;
     std::vector<RequestId> refused;
-    const auto may_go = [&](const FairQueue::Waiter& candidate) {
+    const auto can_start = [&](const FairQueue::Waiter& candidate) {
       Request& request = requests_.at(candidate.request);
-      if (IsPastHope(now, request)) {
+      if (MustRefuse(now, request)) {
         refused.push_back(request.id);
         return false;
       }
-      return MayGo(now, request, server);
+      return TryPickServer(now, request, server);
     };
     // Held suspects are not counted as asked: many of them at the front would
     // else stop everyone behind them.
     const auto held = [&](const FairQueue::Waiter& candidate) {
       const Request& request = requests_.at(candidate.request);
-      return !IsPastHope(now, request) && IsHeld(now, request);
+      return !MustRefuse(now, request) && IsHeld(now, request);
     };
-    const auto waiter = found->second.Pop(now, may_go, kMaxAsked, held);
+    const auto waiter =
+        found->second.Pop(now, can_start, kMaxWaitersChecked, held);
     if (waiter.has_value()) {
-      paces_[std::string(pool)].OnStart(now, !found->second.empty());
+      wait_estimators_[std::string(pool)].OnStart(now, !found->second.empty());
       Start(now, requests_.at(waiter->request), std::move(server));
     }
     for (const RequestId request : refused) {
@@ -58,7 +59,7 @@
   }
 }
 
-void Coordinator::DispatchFreed(TimePoint now) {
+void Coordinator::DispatchFreedPools(TimePoint now) {
   while (!freed_pools_.empty()) {
     const std::set<std::string> pools = std::exchange(freed_pools_, {});
     for (const std::string& pool : pools) {
@@ -67,7 +68,7 @@
   }
 }
 
-bool Coordinator::IsPastHope(TimePoint now, const Request& request) const {
+bool Coordinator::MustRefuse(TimePoint now, const Request& request) const {
   // Quarantine may have come from a peer, or from a twin, while it waited. A
   // daemon that was paused may dispatch before its deadline timers have run.
   return now >= request.deadline ||
@@ -100,16 +101,16 @@
           suspects_.IsSuspect(now, fingerprint));
 }
 
-ServerRef Coordinator::Listed(const ServerRef& server) const {
+ServerRef Coordinator::CurrentRecordOf(const ServerRef& server) const {
   const auto found = servers_.servers().find(server->host.name);
   return found == servers_.servers().end() ? server : found->second;
 }
 
 std::vector<ServerRef> Coordinator::BusyServers() const {
   std::vector<ServerRef> busy;
-  busy.reserve(at_server_.size());
-  for (const auto& [server, attempts] : at_server_) {
-    busy.push_back(Listed(attempts.front().server));
+  busy.reserve(attempts_by_server_.size());
+  for (const auto& [server, attempts] : attempts_by_server_) {
+    busy.push_back(CurrentRecordOf(attempts.front().server));
   }
   return busy;
 }
@@ -118,7 +119,7 @@
   std::vector<ServerRef> servers;
   servers.reserve(suspect_servers_.size());
   for (const ServerRef& server : suspect_servers_) {
-    servers.push_back(Listed(server));
+    servers.push_back(CurrentRecordOf(server));
   }
   return servers;
 }
@@ -133,12 +134,12 @@
   return servers;
 }
 
-std::vector<ServerRef> Coordinator::ServersWithEffects() const {
+std::vector<ServerRef> Coordinator::ServersWithUnrepeatableCalls() const {
   std::vector<ServerRef> servers;
   for (const auto& [id, attempt] : attempts_) {
     const Request& request = requests_.at(attempt.request);
     if (!request.profile->stages[attempt.stage_index].MayRepeat()) {
-      servers.push_back(Listed(attempt.server));
+      servers.push_back(CurrentRecordOf(attempt.server));
     }
   }
   return servers;
@@ -150,9 +151,10 @@
   context.pool = stage.pool;
   context.objective = request.profile->objective;
   context.cross_region = request.profile->cross_region;
-  context.expected = Expected(stage);
-  context.expected_rest = ExpectedRest(request);
-  context.line = paces_[stage.pool].WaitFor(queues_.at(stage.pool).size());
+  context.expected = ExpectedDuration(stage);
+  context.expected_rest = ExpectedRemaining(request);
+  context.line =
+      wait_estimators_[stage.pool].EstimateWait(queues_.at(stage.pool).size());
   context.remaining = request.deadline - now;
   context.prefix = stage.streams ? request.submission.prefix : 0;
   context.bytes = request.submission.body.size();
@@ -169,15 +171,17 @@
   return server != nullptr;
 }
 
-bool Coordinator::MayGo(TimePoint now, Request& request, ServerRef& server) {
+bool Coordinator::TryPickServer(TimePoint now,
+                                Request& request,
+                                ServerRef& server) {
   const StageSpec& stage = request.stage();
   PickContext context = ContextOf(now, request);
   if (suspects_.IsSuspect(now, request.submission.fingerprint)) {
-    return MayGoSuspect(now, request, context, server);
+    return TryPickServerForSuspect(now, request, context, server);
   }
   const std::vector<ServerRef> isolated = IsolatedServers(now, stage.pool);
   std::vector<ServerRef> best = isolated;
-  Append(best, request.tried);
+  Append(best, request.tried_servers);
   if (Pick(now, context, best, server) ||
       Pick(now, context, isolated, server)) {
     return true;
@@ -188,41 +192,41 @@
     // or a hedge, gains nothing there.
     return false;
   }
-  if (now >= request.isolate_until) {
-    return Pick(now, context, request.tried, server) ||
+  if (now >= request.isolation_deadline) {
+    return Pick(now, context, request.tried_servers, server) ||
            Pick(now, context, {}, server);
   }
-  WaitForIsolation(request);
+  ArmIsolationTimer(request);
   context.avoid = isolated;
   const bool others_work = servers_.LeastBusy(now, context) != nullptr;
   return !others_work && ReservationAt(now, stage.pool) == nullptr &&
          Pick(now, context, {}, server);
 }
 
-bool Coordinator::MayGoSuspect(TimePoint now,
-                               Request& request,
-                               PickContext& context,
-                               ServerRef& server) {
+bool Coordinator::TryPickServerForSuspect(TimePoint now,
+                                          Request& request,
+                                          PickContext& context,
+                                          ServerRef& server) {
   const std::string& pool = request.stage().pool;
-  if (!MoreSuspectsMayRun(pool)) {
+  if (!CanRunMoreSuspects(pool)) {
     return false;
   }
   // Best is an idle server, where the crash hits nobody else. One that has just
   // died looks idle too, hence only one in favour at first.
   const std::vector<ServerRef> busy = BusyServers();
   std::vector<ServerRef> best = busy;
-  Append(best, request.tried);
+  Append(best, request.tried_servers);
   context.in_favour_only = true;
   if (Pick(now, context, best, server)) {
     return true;
   }
-  if (now < request.isolate_until) {
-    WaitForIsolation(request);
+  if (now < request.isolation_deadline) {
+    ArmIsolationTimer(request);
     if (ReservationAt(now, pool) != nullptr) {
       return false;
     }
     std::vector<ServerRef> avoid = SuspectServers();
-    Append(avoid, request.tried);
+    Append(avoid, request.tried_servers);
     context.avoid = avoid;
     const ServerRef quiet = servers_.LeastBusy(now, context);
     if (quiet != nullptr) {
@@ -233,7 +237,7 @@
   // Never two suspects on one server, or its crash would name neither, and
   // never beside a call whose outcome a crash would leave unknown.
   std::vector<ServerRef> last = IsolatedServers(now, pool);
-  Append(last, ServersWithEffects());
+  Append(last, ServersWithUnrepeatableCalls());
   context.in_favour_only = false;
   return Pick(now, context, busy, server) || Pick(now, context, last, server);
 }
@@ -250,7 +254,8 @@
   const bool lasts =
       request != requests_.end() &&
       request->second.phase == RequestPhase::kQueued &&
-      now < request->second.isolate_until && !IsHeld(now, request->second) &&
+      now < request->second.isolation_deadline &&
+      !IsHeld(now, request->second) &&
       suspects_.IsSuspect(now, request->second.submission.fingerprint) &&
       server->Accepts() && now >= server->out_of_favour_until;
   return lasts ? &found->second : nullptr;
@@ -267,27 +272,28 @@
   // would stand idle.
   const RequestId holder = reservation->holder;
   ServerRef server = reservation->server;
-  const auto may_go = [&](const FairQueue::Waiter& candidate) {
+  const auto can_start = [&](const FairQueue::Waiter& candidate) {
     Request& request = requests_.at(candidate.request);
-    return !IsPastHope(now, request) && MayGo(now, request, server);
+    return !MustRefuse(now, request) && TryPickServer(now, request, server);
   };
   const auto others = [holder](const FairQueue::Waiter& candidate) {
     return candidate.request != holder;
   };
-  if (queue.Pop(now, may_go, 1, others).has_value()) {
-    paces_[std::string(pool)].OnStart(now, !queue.empty());
+  if (queue.Pop(now, can_start, 1, others).has_value()) {
+    wait_estimators_[std::string(pool)].OnStart(now, !queue.empty());
     Start(now, requests_.at(holder), std::move(server));
   }
 }
 
-void Coordinator::WaitForIsolation(Request& request) {
-  if (!request.isolation_timed && request.phase == RequestPhase::kQueued) {
-    request.isolation_timed = true;
-    Arm(request.isolate_until, TimerKind::kIsolation, request.id.value);
+void Coordinator::ArmIsolationTimer(Request& request) {
+  if (!request.isolation_timer_armed &&
+      request.phase == RequestPhase::kQueued) {
+    request.isolation_timer_armed = true;
+    Arm(request.isolation_deadline, TimerKind::kIsolation, request.id.value);
   }
 }
 
-void Coordinator::OnIsolationOver(TimePoint now, std::uint64_t id) {
+void Coordinator::OnIsolationTimeout(TimePoint now, std::uint64_t id) {
   const auto found = requests_.find(RequestId{id});
   if (found != requests_.end() &&
       found->second.phase == RequestPhase::kQueued) {
@@ -296,7 +302,7 @@
   }
 }
 
-bool Coordinator::MoreSuspectsMayRun(std::string_view pool) const {
+bool Coordinator::CanRunMoreSuspects(std::string_view pool) const {
   // After a crash of a large batch its neighbours would else take all servers,
   // one each, and every newcomer would run beside some suspect.
   constexpr std::ptrdiff_t kServersPerSuspect = 4;
@@ -313,9 +319,9 @@
 void Coordinator::OnReset(TimePoint now, const Attempt& attempt) {
   // One crash breaks every connection at once: the second that breaks confirms
   // it, and those that follow are no new crash.
-  constexpr Duration kAtOnce = std::chrono::milliseconds(200);
-  const bool follows =
-      attempt.crash_at != TimePoint{} && now < attempt.crash_at + kAtOnce;
+  constexpr Duration kSameCrashWindow = std::chrono::milliseconds(200);
+  const bool follows = attempt.suspected_crash_at != TimePoint{} &&
+                       now < attempt.suspected_crash_at + kSameCrashWindow;
   if (follows) {
     suspects_.OnServerDown(now, attempt.server->host.name);
   } else {
@@ -330,7 +336,7 @@
   // three equal letters in it would be three crashes of that letter.
   std::set<Fingerprint> in_flight;
   std::set<Fingerprint> suspects;
-  for (auto& [record, attempts] : at_server_) {
+  for (auto& [record, attempts] : attempts_by_server_) {
     if (record->host.name != server.host.name) {
       continue;
     }
@@ -340,12 +346,12 @@
       }
     }
   }
-  for (auto& [record, attempts] : at_server_) {
+  for (auto& [record, attempts] : attempts_by_server_) {
     if (record->host.name != server.host.name) {
       continue;
     }
     for (Attempt& other : attempts) {
-      other.crash_at = now;
+      other.suspected_crash_at = now;
       other.crashed_beside_suspect =
           suspects.size() > suspects.count(other.fingerprint);
       if (other.written) {
@@ -359,10 +365,10 @@
                                         : listed->second->host.incarnation;
   suspects_.OnCrash(now, server.host.name, incarnation,
                     std::vector(in_flight.begin(), in_flight.end()));
-  MarkRunningTwins(in_flight);
+  MarkRunningDuplicates(in_flight);
 }
 
-void Coordinator::MarkRunningTwins(const std::set<Fingerprint>& suspects) {
+void Coordinator::MarkRunningDuplicates(const std::set<Fingerprint>& suspects) {
   // Equal requests run elsewhere already. Unless they count as suspects too,
   // the guilty one is sent beside them and each of its crashes is held against
   // them.
@@ -374,11 +380,12 @@
   }
 }
 
-void Coordinator::OnSignOfLife(TimePoint now, Attempt& attempt) {
+void Coordinator::OnServerResponding(TimePoint now, Attempt& attempt) {
   // Had the server crashed, this call would have broken with the other one.
-  if (attempt.crash_at != TimePoint{} && now > attempt.crash_at) {
+  if (attempt.suspected_crash_at != TimePoint{} &&
+      now > attempt.suspected_crash_at) {
     suspects_.OnServerAlive(now, attempt.server->host.name);
-    attempt.crash_at = {};
+    attempt.suspected_crash_at = {};
   }
 }
 
--- a/packages/decision/src/coordinator_stages.cc
+++ b/packages/decision/src/coordinator_stages.cc
@@ -11,17 +11,17 @@
 namespace gentianroute {
 namespace {
 
-/// Expected times that must be left when a request stops waiting for a server
-/// by itself, or for one without a suspect.
-constexpr int kRestKept = 2;
+/// ExpectedDuration times that must be left when a request stops waiting for a
+/// server by itself, or for one without a suspect.
+constexpr int kIsolationReserveFactor = 2;
 
 }  // namespace
 
 void Coordinator::EnterStage(TimePoint now, Request& request) {
-  request.tried.clear();
+  request.tried_servers.clear();
   request.stage_maybe_run = false;
   request.attempts_made = 0;
-  request.attempts_excused = 0;
+  request.attempts_exempted = 0;
   request.connect_failures = 0;
   request.offset = 0;
   request.streamed.clear();
@@ -33,16 +33,16 @@
   const StageSpec& stage = request.stage();
   request.phase = RequestPhase::kQueued;
   request.queued_at = now;
-  request.isolate_until =
-      std::min(now + (request.deadline - now) / 2,
-               request.deadline - kRestKept * ExpectedRest(request));
-  request.isolation_timed = false;
+  request.isolation_deadline = std::min(
+      now + (request.deadline - now) / 2,
+      request.deadline - kIsolationReserveFactor * ExpectedRemaining(request));
+  request.isolation_timer_armed = false;
   FairQueue& queue =
       queues_.try_emplace(stage.pool, usage_, options_.queue_order)
           .first->second;
   queue.Push(WaiterOf(request, stage));
   if (options_.refuse_early) {
-    Arm(now, TimerKind::kTooLate, request.id.value);
+    Arm(now, TimerKind::kLatestStart, request.id.value);
   }
   const std::string pool = stage.pool;
   Dispatch(now, pool);
@@ -55,20 +55,20 @@
                                         const StageSpec& stage) const {
   const Submission& submission = request.submission;
   return {request.id, submission.organisation, submission.subscriber,
-          submission.weight, Seconds(Expected(stage))};
+          submission.weight, Seconds(ExpectedDuration(stage))};
 }
 
 void Coordinator::Shed(TimePoint now, std::string_view pool) {
   FairQueue& queue = queues_.find(pool)->second;
-  const DispatchPace& pace =
-      paces_.try_emplace(std::string(pool)).first->second;
-  // The worst one goes last, so it waits for all the others. Once that takes
+  const WaitEstimator& pace =
+      wait_estimators_.try_emplace(std::string(pool)).first->second;
+  // The lowest one goes last, so it waits for all the others. Once that takes
   // longer than its deadline allows it is told so at once. Without this the
   // line grows until everybody in it, light ones too, goes just too late.
-  while (const FairQueue::Waiter* worst = queue.Worst(now)) {
-    Request& request = requests_.at(worst->request);
-    const TimePoint latest = request.deadline - ExpectedRest(request);
-    if (now + pace.WaitFor(queue.size()) <= latest ||
+  while (const FairQueue::Waiter* lowest = queue.LowestPriority(now)) {
+    Request& request = requests_.at(lowest->request);
+    const TimePoint latest = request.deadline - ExpectedRemaining(request);
+    if (now + pace.EstimateWait(queue.size()) <= latest ||
         request.EffectMayHaveRun()) {
       return;
     }
@@ -83,7 +83,7 @@
   // Nothing ran, so a call without a connection uses up no attempt. While all
   // servers of a pool restart they refuse within milliseconds; giving up then
   // would lose a request whose deadline is seconds away.
-  constexpr Duration kFirst = std::chrono::milliseconds(20);
+  constexpr Duration kInitialDelay = std::chrono::milliseconds(20);
   constexpr std::uint32_t kMaxDoublings = 4;
   --request.attempts_made;
   const std::uint32_t failures = ++request.connect_failures;
@@ -94,8 +94,9 @@
   const std::uint32_t doublings =
       std::min(failures - request.stage().max_attempts, kMaxDoublings);
   request.phase = RequestPhase::kQueued;
-  request.tried.clear();
-  Arm(now + kFirst * (1 << doublings), TimerKind::kBackOff, request.id.value);
+  request.tried_servers.clear();
+  Arm(now + kInitialDelay * (1 << doublings), TimerKind::kBackOff,
+      request.id.value);
 }
 
 void Coordinator::OnBackOff(TimePoint now, std::uint64_t id) {
@@ -106,7 +107,7 @@
   Request& request = found->second;
   GR_INVARIANT(request.phase == RequestPhase::kQueued);
   if (suspects_.IsAccused(now, request.submission.fingerprint)) {
-    Arm(now + kAccusedRetry, TimerKind::kBackOff, id);
+    Arm(now + kAccusedRetryInterval, TimerKind::kBackOff, id);
     return;
   }
   Enqueue(now, request);
@@ -118,7 +119,7 @@
   // earlier call of it may have run, and, with a key, only under a claim that
   // the store confirmed.
   GR_INVARIANT(stage.MayRepeat() || !request.stage_maybe_run);
-  GR_INVARIANT(request.claim_token.empty() || request.claim_stands);
+  GR_INVARIANT(request.claim_token.empty() || request.claim_confirmed);
   GR_INVARIANT(server->Accepts());
   GR_INVARIANT(now < request.deadline);
 
@@ -130,26 +131,26 @@
   attempt.stage_index = request.stage_index;
   attempt.server = server;
   attempt.started = now;
-  attempt.silent_at = now + stage.first_byte_timeout;
+  attempt.next_byte_deadline = now + stage.first_byte_timeout;
   attempt.suspect = suspects_.IsSuspect(now, attempt.fingerprint);
   ++running_[attempt.fingerprint];
   if (attempt.suspect) {
     suspect_servers_.push_back(server);
     reservations_.erase(stage.pool);
   }
-  at_server_[server.get()].push_back(attempt);
+  attempts_by_server_[server.get()].push_back(attempt);
   servers_.OnStart(*server);
   ++counters_.attempts;
 
   request.phase = RequestPhase::kRunning;
   request.attempts.push_back(id);
-  request.tried.push_back(server);
+  request.tried_servers.push_back(server);
   ++request.attempts_made;
   StageReport& report = request.reports.back();
   report.attempts = request.attempts_made;
   report.queued += now - request.queued_at;
 
-  Arm(attempt.silent_at, TimerKind::kSilence, id.value);
+  Arm(attempt.next_byte_deadline, TimerKind::kNextByteTimeout, id.value);
   if (stage.hedge_after.count() > 0 && stage.MayRepeat()) {
     Arm(now + stage.hedge_after, TimerKind::kHedge, id.value);
   }
@@ -200,14 +201,14 @@
   }
 }
 
-Attempt Coordinator::Detach(AttemptId id) {
+Attempt Coordinator::RemoveAttempt(AttemptId id) {
   const auto found = attempts_.find(id);
   GR_INVARIANT(found != attempts_.end());
   Attempt& attempt = found->second;
   attempt.unlink();
-  const auto at_server = at_server_.find(attempt.server.get());
+  const auto at_server = attempts_by_server_.find(attempt.server.get());
   if (at_server->second.empty()) {
-    at_server_.erase(at_server);
+    attempts_by_server_.erase(at_server);
   }
   Request& request = requests_.at(attempt.request);
   std::erase(request.attempts, id);
@@ -240,7 +241,7 @@
     if (id == winner) {
       continue;
     }
-    const Attempt attempt = Detach(id);
+    const Attempt attempt = RemoveAttempt(id);
     servers_.OnCancelled(*attempt.server);
     actions_.push_back(CancelAttempt{attempt.id, attempt.server, false, {}});
   }
--- a/packages/decision/src/fair_queue.cc
+++ b/packages/decision/src/fair_queue.cc
@@ -7,82 +7,89 @@
 namespace {
 
 /// How long a rank that fell, by a correction or a peer's news, may stand.
-constexpr Duration kRankAgainAfter = std::chrono::seconds(1);
+constexpr Duration kRankUpdateInterval = std::chrono::seconds(1);
 
-/// Puts a line where its rank belongs.
-template <typename Ranking, typename Line>
-void Move(Ranking& ranking, Line& line, double rank) {
-  auto node = ranking.extract(line.place);
+/// Puts a queue where its rank belongs.
+template <typename Ranking, typename Queue>
+void UpdateRank(Ranking& ranking, Queue& queue, double rank) {
+  auto node = ranking.extract(queue.position);
   node.value().rank = rank;
-  line.place = ranking.insert(std::move(node)).position;
+  queue.position = ranking.insert(std::move(node)).position;
 }
 
-/// Calls `use` for each line in the order of present ranks, until it says yes.
+/// Calls `use` for each queue in the order of present ranks, until it says yes.
 template <typename Ranking, typename Rank, typename Use>
 void ForEachRanked(Ranking& ranking, const Rank& rank, const Use& use) {
-  auto place = ranking.begin();
-  while (place != ranking.end()) {
-    auto* line = place->line;
-    const auto next = std::next(place);
-    const double present = rank(*line);
-    const bool grew = present > place->rank;
-    if (present != place->rank) {
-      Move(ranking, *line, present);
+  auto position = ranking.begin();
+  while (position != ranking.end()) {
+    auto* queue = position->queue;
+    const auto next = std::next(position);
+    const double present = rank(*queue);
+    const bool grew = present > position->rank;
+    if (present != position->rank) {
+      UpdateRank(ranking, *queue, present);
     }
-    if (grew && next != ranking.end() && *next < *line->place) {
-      place = next;  // others come first now; this one again in its turn
+    if (grew && next != ranking.end() && *next < *queue->position) {
+      position = next;  // others come first now; this one again in its turn
       continue;
     }
-    if (use(*line)) {
+    if (use(*queue)) {
       return;
     }
-    place = next;
+    position = next;
   }
 }
 
 }  // namespace
 
-double FairQueue::RankOf(const OrganisationLine& line) const {
+double FairQueue::RankOf(const OrganisationQueue& organisation) const {
   if (order_ == QueueOrder::kArrival) {
     return 0;
   }
-  return ledger_.OrganisationRank(line.name) / line.weight;
+  return ledger_.OrganisationRank(organisation.name) / organisation.weight;
 }
 
-double FairQueue::RankOf(const OrganisationLine& line,
-                         const SubscriberLine& part) const {
+double FairQueue::RankOf(const OrganisationQueue& organisation,
+                         const SubscriberQueue& subscriber) const {
   if (order_ == QueueOrder::kArrival) {
     return 0;
   }
-  return ledger_.SubscriberRank(line.name, part.name);
+  return ledger_.SubscriberRank(organisation.name, subscriber.name);
 }
 
-FairQueue::OrganisationLine& FairQueue::LineOf(const Waiter& waiter,
-                                               const std::string& name) {
+FairQueue::OrganisationQueue& FairQueue::FindOrAddOrganisation(
+    const Waiter& waiter,
+    const std::string& name) {
   const auto [found, is_new] = organisations_.try_emplace(name);
-  OrganisationLine& line = found->second;
-  line.weight = std::max(waiter.weight, 1e-9);
+  OrganisationQueue& organisation = found->second;
+  organisation.weight = std::max(waiter.weight, 1e-9);
   if (is_new) {
-    line.name = name;
-    line.place = ranking_.insert({RankOf(line), next_order_++, &line}).first;
+    organisation.name = name;
+    organisation.position =
+        ranking_.insert({RankOf(organisation), next_sequence_++, &organisation})
+            .first;
   } else {
-    Move(ranking_, line, RankOf(line));
+    UpdateRank(ranking_, organisation, RankOf(organisation));
   }
-  return line;
+  return organisation;
 }
 
-FairQueue::SubscriberLine& FairQueue::PartOf(OrganisationLine& line,
-                                             const std::string& name) {
-  const auto [found, is_new] = line.subscribers.try_emplace(name);
-  SubscriberLine& part = found->second;
+FairQueue::SubscriberQueue& FairQueue::FindOrAddSubscriber(
+    OrganisationQueue& organisation,
+    const std::string& name) {
+  const auto [found, is_new] = organisation.subscribers.try_emplace(name);
+  SubscriberQueue& subscriber = found->second;
   if (is_new) {
-    part.name = name;
-    part.place =
-        line.ranking.insert({RankOf(line, part), next_order_++, &part}).first;
+    subscriber.name = name;
+    subscriber.position = organisation.ranking
+                              .insert({RankOf(organisation, subscriber),
+                                       next_sequence_++, &subscriber})
+                              .first;
   } else {
-    Move(line.ranking, part, RankOf(line, part));
+    UpdateRank(organisation.ranking, subscriber,
+               RankOf(organisation, subscriber));
   }
-  return part;
+  return subscriber;
 }
 
 void FairQueue::Push(Waiter waiter) {
@@ -91,44 +98,47 @@
     who = {waiter.organisation, waiter.subscriber};
   }
   waiting_cost_ += waiter.cost;
-  OrganisationLine& line = LineOf(waiter, who.organisation);
-  SubscriberLine& part = PartOf(line, who.subscriber);
-  where_[waiter.request] = std::move(who);
-  part.waiters.push_back(std::move(waiter));
+  OrganisationQueue& organisation =
+      FindOrAddOrganisation(waiter, who.organisation);
+  SubscriberQueue& subscriber =
+      FindOrAddSubscriber(organisation, who.subscriber);
+  subscriber_of_request_[waiter.request] = std::move(who);
+  subscriber.waiters.push_back(std::move(waiter));
 }
 
-void FairQueue::RankAgainIfDue(TimePoint now) {
-  const bool same_epoch = ranked_epoch_ == ledger_.epoch();
-  if (same_epoch && now - ranked_at_ < kRankAgainAfter) {
+void FairQueue::UpdateRanksIfDue(TimePoint now) {
+  const bool same_epoch = ranks_epoch_ == ledger_.epoch();
+  if (same_epoch && now - ranks_updated_at_ < kRankUpdateInterval) {
     return;
   }
-  ranked_epoch_ = ledger_.epoch();
-  ranked_at_ = now;
-  for (auto& [name, line] : organisations_) {
-    Move(ranking_, line, RankOf(line));
-    RankAgain(line);
+  ranks_epoch_ = ledger_.epoch();
+  ranks_updated_at_ = now;
+  for (auto& [name, organisation] : organisations_) {
+    UpdateRank(ranking_, organisation, RankOf(organisation));
+    UpdateRanks(organisation);
   }
 }
 
-void FairQueue::RankAgain(OrganisationLine& line) {
-  for (auto& [name, part] : line.subscribers) {
-    Move(line.ranking, part, RankOf(line, part));
+void FairQueue::UpdateRanks(OrganisationQueue& organisation) {
+  for (auto& [name, subscriber] : organisation.subscribers) {
+    UpdateRank(organisation.ranking, subscriber,
+               RankOf(organisation, subscriber));
   }
 }
 
 std::optional<FairQueue::Waiter> FairQueue::Pop(TimePoint now,
-                                                const Ask& may_go,
-                                                std::size_t max_asked,
-                                                const Ask& held) {
-  RankAgainIfDue(now);
-  std::size_t asked_left = max_asked;
-  Found found;
-  const auto rank = [this](const OrganisationLine& line) {
-    return RankOf(line);
+                                                const Predicate& can_start,
+                                                std::size_t max_checked,
+                                                const Predicate& skip) {
+  UpdateRanksIfDue(now);
+  std::size_t checks_left = max_checked;
+  FoundWaiter found;
+  const auto rank = [this](const OrganisationQueue& organisation) {
+    return RankOf(organisation);
   };
-  ForEachRanked(ranking_, rank, [&](OrganisationLine& line) {
-    found = FindIn(line, may_go, held, asked_left);
-    return found.has_value() || asked_left == 0;
+  ForEachRanked(ranking_, rank, [&](OrganisationQueue& organisation) {
+    found = FindWaiter(organisation, can_start, skip, checks_left);
+    return found.has_value() || checks_left == 0;
   });
   if (!found.has_value()) {
     return std::nullopt;
@@ -138,56 +148,56 @@
   return taken;
 }
 
-FairQueue::Found FairQueue::FindIn(OrganisationLine& line,
-                                   const Ask& may_go,
-                                   const Ask& held,
-                                   std::size_t& asked_left) {
-  Found found;
-  const auto rank = [&](const SubscriberLine& part) {
-    return RankOf(line, part);
+FairQueue::FoundWaiter FairQueue::FindWaiter(OrganisationQueue& organisation,
+                                             const Predicate& can_start,
+                                             const Predicate& skip,
+                                             std::size_t& checks_left) {
+  FoundWaiter found;
+  const auto rank = [&](const SubscriberQueue& subscriber) {
+    return RankOf(organisation, subscriber);
   };
-  ForEachRanked(line.ranking, rank, [&](SubscriberLine& part) {
-    auto waiter = part.waiters.begin();
-    for (; waiter != part.waiters.end() && asked_left > 0; ++waiter) {
-      if (held && held(*waiter)) {
+  ForEachRanked(organisation.ranking, rank, [&](SubscriberQueue& subscriber) {
+    auto waiter = subscriber.waiters.begin();
+    for (; waiter != subscriber.waiters.end() && checks_left > 0; ++waiter) {
+      if (skip && skip(*waiter)) {
         continue;
       }
-      --asked_left;
-      if (!may_go || may_go(*waiter)) {
+      --checks_left;
+      if (!can_start || can_start(*waiter)) {
         found = waiter;
         return true;
       }
     }
-    return asked_left == 0;
+    return checks_left == 0;
   });
   return found;
 }
 
-const FairQueue::Waiter* FairQueue::Worst(TimePoint now) {
-  RankAgainIfDue(now);
+const FairQueue::Waiter* FairQueue::LowestPriority(TimePoint now) {
+  UpdateRanksIfDue(now);
   if (ranking_.empty()) {
     return nullptr;
   }
-  const OrganisationLine& line = *ranking_.rbegin()->line;
-  return &line.ranking.rbegin()->line->waiters.back();
+  const OrganisationQueue& organisation = *ranking_.rbegin()->queue;
+  return &organisation.ranking.rbegin()->queue->waiters.back();
 }
 
-bool FairQueue::WouldBeWorst(TimePoint now, const Waiter& newcomer) {
-  const Waiter* worst = Worst(now);
-  if (worst == nullptr || order_ == QueueOrder::kArrival) {
+bool FairQueue::WouldBeLowestPriority(TimePoint now, const Waiter& newcomer) {
+  const Waiter* lowest = LowestPriority(now);
+  if (lowest == nullptr || order_ == QueueOrder::kArrival) {
     return true;
   }
-  if (newcomer.organisation != worst->organisation) {
+  if (newcomer.organisation != lowest->organisation) {
     return ledger_.OrganisationRank(newcomer.organisation) / newcomer.weight >=
-           ledger_.OrganisationRank(worst->organisation) / worst->weight;
+           ledger_.OrganisationRank(lowest->organisation) / lowest->weight;
   }
   return ledger_.SubscriberRank(newcomer.organisation, newcomer.subscriber) >=
-         ledger_.SubscriberRank(worst->organisation, worst->subscriber);
+         ledger_.SubscriberRank(lowest->organisation, lowest->subscriber);
 }
 
 bool FairQueue::Remove(RequestId request) {
-  const auto found = where_.find(request);
-  if (found == where_.end()) {
+  const auto found = subscriber_of_request_.find(request);
+  if (found == subscriber_of_request_.end()) {
     return false;
   }
   const SubscriberName& who = found->second;
@@ -201,18 +211,19 @@
 FairQueue::Waiter FairQueue::Take(std::list<Waiter>::iterator waiter) {
   Waiter taken = std::move(*waiter);
   waiting_cost_ -= taken.cost;
-  const auto where = where_.find(taken.request);
-  const auto line = organisations_.find(where->second.organisation);
-  const auto part = line->second.subscribers.find(where->second.subscriber);
-  part->second.waiters.erase(waiter);
-  where_.erase(where);
-  if (part->second.waiters.empty()) {
-    line->second.ranking.erase(part->second.place);
-    line->second.subscribers.erase(part);
-  }
-  if (line->second.subscribers.empty()) {
-    ranking_.erase(line->second.place);
-    organisations_.erase(line);
+  const auto where = subscriber_of_request_.find(taken.request);
+  const auto organisation = organisations_.find(where->second.organisation);
+  const auto subscriber =
+      organisation->second.subscribers.find(where->second.subscriber);
+  subscriber->second.waiters.erase(waiter);
+  subscriber_of_request_.erase(where);
+  if (subscriber->second.waiters.empty()) {
+    organisation->second.ranking.erase(subscriber->second.position);
+    organisation->second.subscribers.erase(subscriber);
+  }
+  if (organisation->second.subscribers.empty()) {
+    ranking_.erase(organisation->second.position);
+    organisations_.erase(organisation);
   }
   return taken;
 }
--- a/packages/decision/tests/claims_test.cc
+++ b/packages/decision/tests/claims_test.cc
@@ -17,22 +17,22 @@
 
 const TableKey kRow{"claims", "org/key-1"};
 
-/// @brief The only step that the ledger wants done.
-ClaimStep OnlyStep(Bench& bench) {
-  std::vector<ClaimStep> steps = bench.core.claims.TakeSteps();
-  cr_assert_eq(steps.size(), 1U);
-  return steps.front();
+/// @brief The only operation that the ledger wants done.
+ClaimOperation OnlyOperation(Bench& bench) {
+  std::vector<ClaimOperation> operations = bench.core.claims.TakeOperations();
+  cr_assert_eq(operations.size(), 1U);
+  return operations.front();
 }
 
 /// @brief The write's answer is lost and the read-back finds no row; the write
 /// takes effect only afterwards, if at all.
 TableTransaction LoseClaimWrite(Bench& bench) {
   bench.Advance(milliseconds(5));
-  const ClaimStep write = OnlyStep(bench);
-  bench.core.claims.OnTransacted(bench.now, write.step,
+  const ClaimOperation write = OnlyOperation(bench);
+  bench.core.claims.OnTransacted(bench.now, write.id,
                                  {TableStatus::kUnknown, {}, {}});
-  const ClaimStep read = OnlyStep(bench);
-  bench.core.claims.OnRead(bench.now, read.step, bench.table.Read(read.reads));
+  const ClaimOperation read = OnlyOperation(bench);
+  bench.core.claims.OnRead(bench.now, read.id, bench.table.Read(read.reads));
   bench.Advance(Duration{0});
   return write.transaction;
 }
@@ -66,7 +66,7 @@
   cr_assert(!bench.FinishOf(resend)->error.has_value());
 }
 
-// The resend goes to another daemon. It asks the first, which says that the
+// The resend goes to another daemon. It queries the first, which says that the
 // token was abandoned; it then replaces the row as read and runs once.
 Test(claims, resend_takes_over_an_abandoned_token_of_a_peer) {
   Bench first(Orders());
@@ -76,30 +76,31 @@
   second.table.Transact(late);
   const RequestId resend = second.Submit(Order());
   second.Settle();
-  cr_assert_eq(second.asks.size(), 1U);
-  const std::string token = second.asks.at(0).claim.token;
+  cr_assert_eq(second.queries.size(), 1U);
+  const std::string token = second.queries.at(0).claim.token;
   first.coordinator().Join(first.now, token);
   first.Take();
   cr_assert(first.joins.at(0).outcome.state == JoinState::kAbandoned);
-  second.coordinator().OnClaimerAnswered(second.now, resend, token,
-                                         first.joins.at(0).outcome);
+  second.coordinator().OnClaimHolderAnswered(second.now, resend, token,
+                                             first.joins.at(0).outcome);
   second.Settle();
   cr_assert_eq(second.starts.size(), 1U);
 }
 
-// A peer asks about a token whose write took effect while its own daemon still
-// waits for the answer. It is neither abandoned nor unknown: the peer waits.
+// A peer queries about a token whose write took effect while its own daemon
+// still waits for the answer. It is neither abandoned nor unknown: the peer
+// waits.
 Test(claims, join_of_a_token_still_being_claimed_waits_for_its_outcome) {
   Bench bench(Orders());
   bench.Submit(Order());
   bench.Advance(milliseconds(5));
-  const ClaimStep write = OnlyStep(bench);
+  const ClaimOperation write = OnlyOperation(bench);
   const TransactResult written = bench.table.Transact(write.transaction);
   const auto holder = bench.core.codec.Decode(bench.table.Read(kRow).value);
   bench.coordinator().Join(bench.now, holder->token);
   bench.Take();
   cr_assert(bench.joins.empty());
-  bench.core.claims.OnTransacted(bench.now, write.step, written);
+  bench.core.claims.OnTransacted(bench.now, write.id, written);
   bench.Advance(Duration{0});
   bench.Write(bench.starts.at(0).attempt);
   bench.Answer(bench.starts.at(0).attempt, "1");
@@ -120,13 +121,15 @@
   bench.table.Transact({{{kRow, bench.table.Read(kRow).version}},
                         {{kRow, bench.core.codec.Encode(next)}}});
   const JoinOutcome abandoned{JoinState::kAbandoned, std::nullopt, {}};
-  bench.coordinator().OnClaimerAnswered(bench.now, id, old.token, abandoned);
+  bench.coordinator().OnClaimHolderAnswered(bench.now, id, old.token,
+                                            abandoned);
   bench.Settle();
-  cr_assert_eq(bench.asks.size(), 2U);
-  bench.coordinator().OnClaimerAnswered(bench.now, id, old.token, abandoned);
+  cr_assert_eq(bench.queries.size(), 2U);
+  bench.coordinator().OnClaimHolderAnswered(bench.now, id, old.token,
+                                            abandoned);
   bench.Settle();
   cr_assert(bench.starts.empty());
-  cr_assert_eq(bench.asks.size(), 2U);
+  cr_assert_eq(bench.queries.size(), 2U);
 }
 
 // The deadline passes while the claim is in flight, and the claim then stands.
@@ -137,11 +140,11 @@
   order.timeout = milliseconds(100);
   const RequestId id = bench.Submit(std::move(order));
   bench.Advance(milliseconds(5));
-  const ClaimStep write = OnlyStep(bench);
+  const ClaimOperation write = OnlyOperation(bench);
   const TransactResult written = bench.table.Transact(write.transaction);
   bench.Advance(milliseconds(200));
   cr_assert(bench.FinishOf(id)->error == ErrorKind::kDeadlineBeforeStart);
-  bench.core.claims.OnTransacted(bench.now, write.step, written);
+  bench.core.claims.OnTransacted(bench.now, write.id, written);
   bench.Settle();
   const auto row = bench.core.codec.Decode(bench.table.Read(kRow).value);
   cr_assert(row->state == ClaimState::kNotRun);
--- a/packages/decision/tests/coordinator_test.cc
+++ b/packages/decision/tests/coordinator_test.cc
@@ -26,7 +26,7 @@
   bench.coordinator().OnAnswer(bench.now, crossed);
   bench.Take();
   cr_assert(bench.FinishOf(id) == nullptr);
-  cr_assert(bench.cancels.at(0).condemn_connections);
+  cr_assert(bench.cancels.at(0).close_idle_connections);
   const AttemptId second = bench.starts.at(1).attempt;
   bench.Answer(first, "\"late\"");
   bench.Answer(second, "\"mine\"");
@@ -87,7 +87,7 @@
 Test(coordinator, hedged_stream_takes_its_text_from_one_engine) {
   Bench bench({HostOf("e1", "encode"), HostOf("g1", "generate"),
                HostOf("g2", "generate")});
-  auto catalogue = std::make_shared<Catalogue>(*ThreeServices());
+  auto catalogue = std::make_shared<Catalogue>(*TestCatalogue());
   StageSpec generate = StageOf("generate");
   generate.streams = true;
   generate.hedge_after = milliseconds(50);
@@ -173,7 +173,7 @@
 // must not start a call that nobody waits for.
 Test(coordinator, frozen_daemon_starts_no_hedge_past_the_deadline) {
   Bench bench({HostOf("e1", "encode"), HostOf("e2", "encode")});
-  auto catalogue = std::make_shared<Catalogue>(*ThreeServices());
+  auto catalogue = std::make_shared<Catalogue>(*TestCatalogue());
   StageSpec encode = StageOf("encode");
   encode.hedge_after = milliseconds(50);
   AddService(*catalogue, "lookups", {encode});
--- a/packages/decision/tests/crashes_test.cc
+++ b/packages/decision/tests/crashes_test.cc
@@ -19,7 +19,7 @@
 
 /// @brief Adds a service of one stage, whose calls may be silent for long.
 void AddSingle(Bench& bench, const std::string& name, StageSpec stage) {
-  auto catalogue = std::make_shared<Catalogue>(*ThreeServices());
+  auto catalogue = std::make_shared<Catalogue>(*TestCatalogue());
   stage.first_byte_timeout = seconds(60);
   AddService(*catalogue, name, {std::move(stage)});
   bench.coordinator().SetCatalogue(catalogue);
@@ -144,7 +144,7 @@
 Test(crashes, answered_first_stage_does_not_clear_a_suspect) {
   Bench bench({HostOf("e1", "encode"), HostOf("g1", "generate"),
                HostOf("g2", "generate"), HostOf("g3", "generate")});
-  auto catalogue = std::make_shared<Catalogue>(*ThreeServices());
+  auto catalogue = std::make_shared<Catalogue>(*TestCatalogue());
   StageSpec once = StageOf("generate");
   once.max_attempts = 1;
   AddService(*catalogue, "letters", {StageOf("encode"), once});
--- a/packages/decision/tests/decision_fixture.h
+++ b/packages/decision/tests/decision_fixture.h
@@ -115,7 +115,7 @@
 /// @brief `letters`: encode, then generate, streamed. `orders`: one call that
 /// must not repeat. `lookups`: one repeatable call; `thrifty`: the
 /// same, cost first.
-inline CatalogueRef ThreeServices() {
+inline CatalogueRef TestCatalogue() {
   auto catalogue = std::make_shared<Catalogue>();
   catalogue->revision = 1;
   StageSpec generate = StageOf("generate");
@@ -152,7 +152,7 @@
         claims({name, incarnation}, codec),
         coordinator(options, servers, usage, suspects, claims) {
     servers.ApplyHostList(TimePoint{}, hosts);
-    coordinator.SetCatalogue(ThreeServices());
+    coordinator.SetCatalogue(TestCatalogue());
   }
 
   JsonClaimCodec codec;
@@ -200,8 +200,8 @@
         finishes.push_back(std::move(*finish));
       } else if (auto* cancel = std::get_if<CancelAttempt>(&action)) {
         cancels.push_back(std::move(*cancel));
-      } else if (auto* ask = std::get_if<AskClaimer>(&action)) {
-        asks.push_back(std::move(*ask));
+      } else if (auto* query = std::get_if<QueryClaimHolder>(&action)) {
+        queries.push_back(std::move(*query));
       } else if (auto* join = std::get_if<AnswerJoin>(&action)) {
         joins.push_back(std::move(*join));
       } else if (auto* chunk = std::get_if<DeliverChunk>(&action)) {
@@ -213,22 +213,22 @@
   void Advance(Duration by) {
     now += by;
     core.coordinator.Advance(now);
-    core.coordinator.PumpClaims(now);
+    core.coordinator.ProcessClaims(now);
     Take();
   }
 
-  /// @brief Lets the ledger ask the store, and the store answer, until a claim
-  /// that meets others has come to its end.
+  /// @brief Lets the ledger query the store, and the store answer, until a
+  /// claim that meets others has come to its end.
   void Settle() {
     constexpr int kRounds = 8;
     for (int round = 0; round < kRounds; ++round) {
       Advance(milliseconds(5));
-      for (const ClaimStep& step : core.claims.TakeSteps()) {
-        if (step.kind == ClaimStep::Kind::kRead) {
-          core.claims.OnRead(now, step.step, table.Read(step.reads));
+      for (const ClaimOperation& operation : core.claims.TakeOperations()) {
+        if (operation.kind == ClaimOperation::Kind::kRead) {
+          core.claims.OnRead(now, operation.id, table.Read(operation.reads));
         } else {
-          core.claims.OnTransacted(now, step.step,
-                                   table.Transact(step.transaction));
+          core.claims.OnTransacted(now, operation.id,
+                                   table.Transact(operation.transaction));
         }
       }
     }
@@ -306,7 +306,7 @@
   std::vector<StartAttempt> starts;
   std::vector<FinishRequest> finishes;
   std::vector<CancelAttempt> cancels;
-  std::vector<AskClaimer> asks;
+  std::vector<QueryClaimHolder> queries;
   std::vector<AnswerJoin> joins;
   std::string streamed;
 };
--- a/packages/decision/tests/fair_queue_test.cc
+++ b/packages/decision/tests/fair_queue_test.cc
@@ -14,7 +14,7 @@
 
 constexpr TimePoint kStart = TimePoint{} + seconds(10);
 
-struct Line {
+struct QueueFixture {
   UsageLedger ledger;
   FairQueue queue{ledger};
   std::uint64_t next = 1;
@@ -34,19 +34,22 @@
 
 /// Pops one and compares it with a full search: no organisation has a lower
 /// rank, no subscriber of its own has, and none of its requests came before.
-void PopAndCompare(Line& line, std::vector<FairQueue::Waiter>& waiting) {
-  const UsageLedger before = line.ledger;
-  const auto popped = line.queue.Pop(kStart);
+void PopAndCompareWithSearch(QueueFixture& fixture,
+                             std::vector<FairQueue::Waiter>& waiting) {
+  const UsageLedger before = fixture.ledger;
+  const auto popped = fixture.queue.Pop(kStart);
   const std::string& organisation = popped->organisation;
   const double rank = before.OrganisationRank(organisation);
-  const double part = before.SubscriberRank(organisation, popped->subscriber);
+  const double subscriber_rank =
+      before.SubscriberRank(organisation, popped->subscriber);
   auto first = waiting.end();
   for (auto waiter = waiting.begin(); waiter != waiting.end(); ++waiter) {
     cr_assert(rank <= before.OrganisationRank(waiter->organisation));
     if (waiter->organisation != organisation) {
       continue;
     }
-    cr_assert(part <= before.SubscriberRank(organisation, waiter->subscriber));
+    cr_assert(subscriber_rank <=
+              before.SubscriberRank(organisation, waiter->subscriber));
     if (first == waiting.end() && waiter->subscriber == popped->subscriber) {
       first = waiter;
     }
@@ -58,32 +61,32 @@
 }  // namespace
 
 Test(fair_queue, heavy_organisation_waits_behind_but_gets_what_is_idle) {
-  Line line;
-  line.ledger.Charge(kStart, "heavy", "s", 5);
-  line.Push("heavy", "s");
-  line.Push("light", "s");
-  cr_assert_eq(line.Pop(), "light/s");
-  cr_assert_eq(line.Pop(), "heavy/s");
-  cr_assert_eq(line.Pop(), "");
+  QueueFixture fixture;
+  fixture.ledger.Charge(kStart, "heavy", "s", 5);
+  fixture.Push("heavy", "s");
+  fixture.Push("light", "s");
+  cr_assert_eq(fixture.Pop(), "light/s");
+  cr_assert_eq(fixture.Pop(), "heavy/s");
+  cr_assert_eq(fixture.Pop(), "");
 }
 
 Test(fair_queue, heavy_subscriber_waits_behind_those_of_its_organisation) {
-  Line line;
-  line.ledger.Charge(kStart, "org", "heavy", 5);
-  line.Push("org", "heavy");
-  line.Push("org", "light");
-  cr_assert_eq(line.Pop(), "org/light");
+  QueueFixture fixture;
+  fixture.ledger.Charge(kStart, "org", "heavy", 5);
+  fixture.Push("org", "heavy");
+  fixture.Push("org", "light");
+  cr_assert_eq(fixture.Pop(), "org/light");
 }
 
 Test(fair_queue, weight_three_goes_three_times_as_often) {
-  Line line;
+  QueueFixture fixture;
   for (int i = 0; i < 40; ++i) {
-    line.Push("small", "s", 1);
-    line.Push("large", "s", 3);
+    fixture.Push("small", "s", 1);
+    fixture.Push("large", "s", 3);
   }
   int large = 0;
   for (int i = 0; i < 40; ++i) {
-    large += line.Pop() == "large/s" ? 1 : 0;
+    large += fixture.Pop() == "large/s" ? 1 : 0;
   }
   cr_assert(large >= 29 && large <= 31, "%d", large);
 }
@@ -91,80 +94,83 @@
 // Another pool's queue charges the same ledger while an organisation waits
 // here, so its place is out of date when it comes first.
 Test(fair_queue, use_charged_elsewhere_counts_at_once) {
-  Line line;
-  line.Push("zeroth", "s");
-  line.Push("first", "s");
-  line.Push("second", "s");
-  cr_assert_eq(line.Pop(), "zeroth/s");
-  line.ledger.Charge(kStart, "first", "s", 3);
-  cr_assert_eq(line.Pop(), "second/s");
+  QueueFixture fixture;
+  fixture.Push("zeroth", "s");
+  fixture.Push("first", "s");
+  fixture.Push("second", "s");
+  cr_assert_eq(fixture.Pop(), "zeroth/s");
+  fixture.ledger.Charge(kStart, "first", "s", 3);
+  cr_assert_eq(fixture.Pop(), "second/s");
 }
 
 // A peer had told of heavy use and is gone. The organisation's rank fell while
 // it waited; it must not stay behind for longer than a second.
 Test(fair_queue, rank_that_fell_counts_after_a_second) {
-  Line line;
-  line.ledger.Charge(kStart, "other", "s", 1);
-  line.ledger.SetRemote(kStart, "peer", {{{"cleared", ""}, 100}});
-  line.Push("cleared", "s");
-  line.Push("other", "s");
-  line.Push("other", "s");
-  cr_assert_eq(line.Pop(), "other/s");
-  line.ledger.DropRemote("peer");
-  cr_assert_eq(line.Pop(kStart + seconds(1)), "cleared/s");
+  QueueFixture fixture;
+  fixture.ledger.Charge(kStart, "other", "s", 1);
+  fixture.ledger.SetRemote(kStart, "peer", {{{"cleared", ""}, 100}});
+  fixture.Push("cleared", "s");
+  fixture.Push("other", "s");
+  fixture.Push("other", "s");
+  cr_assert_eq(fixture.Pop(), "other/s");
+  fixture.ledger.DropRemote("peer");
+  cr_assert_eq(fixture.Pop(kStart + seconds(1)), "cleared/s");
 }
 
 Test(fair_queue, worst_is_last_of_heaviest) {
-  Line line;
-  line.ledger.Charge(kStart, "heavy", "s1", 5);
-  line.ledger.Charge(kStart, "heavy", "s2", 1);
-  line.Push("light", "s");
-  line.Push("heavy", "s1");
-  const RequestId last = line.Push("heavy", "s1");
-  line.Push("heavy", "s2");
-  cr_assert(line.queue.Worst(kStart)->request == last);
-  cr_assert(line.queue.WouldBeWorst(kStart, {RequestId{9}, "heavy", "s1"}));
-  cr_assert_not(line.queue.WouldBeWorst(kStart, {RequestId{9}, "heavy", "s2"}));
-  cr_assert_not(line.queue.WouldBeWorst(kStart, {RequestId{9}, "light", "s"}));
+  QueueFixture fixture;
+  fixture.ledger.Charge(kStart, "heavy", "s1", 5);
+  fixture.ledger.Charge(kStart, "heavy", "s2", 1);
+  fixture.Push("light", "s");
+  fixture.Push("heavy", "s1");
+  const RequestId last = fixture.Push("heavy", "s1");
+  fixture.Push("heavy", "s2");
+  cr_assert(fixture.queue.LowestPriority(kStart)->request == last);
+  cr_assert(fixture.queue.WouldBeLowestPriority(kStart,
+                                                {RequestId{9}, "heavy", "s1"}));
+  cr_assert_not(fixture.queue.WouldBeLowestPriority(
+      kStart, {RequestId{9}, "heavy", "s2"}));
+  cr_assert_not(fixture.queue.WouldBeLowestPriority(
+      kStart, {RequestId{9}, "light", "s"}));
 }
 
 Test(fair_queue, refused_waiters_stay_and_asking_stops_at_the_limit) {
-  Line line;
+  QueueFixture fixture;
   for (int i = 0; i < 10; ++i) {
-    line.Push("org" + std::to_string(i), "s");
+    fixture.Push("org" + std::to_string(i), "s");
   }
   int asked = 0;
-  const auto none = line.queue.Pop(
+  const auto none = fixture.queue.Pop(
       kStart, [&](const FairQueue::Waiter& /*waiter*/) { return ++asked < 0; },
       4);
   cr_assert_not(none.has_value());
   cr_assert_eq(asked, 4);
-  cr_assert_eq(line.queue.size(), 10);
+  cr_assert_eq(fixture.queue.size(), 10);
 }
 
 Test(fair_queue, generated_history_pops_as_a_full_search_would) {
   for (std::uint64_t seed = 1; seed <= 30; ++seed) {
     std::mt19937_64 rng(seed);
-    Line line;
+    QueueFixture fixture;
     std::vector<FairQueue::Waiter> waiting;
     for (int step = 0; step < 400; ++step) {
       const std::string organisation = std::to_string(rng() % 7);
       const std::string subscriber = std::to_string(rng() % 3);
       const double cost = 1 + static_cast<double>(rng() % 1000) / 7;
       if (rng() % 3 == 0) {
-        line.ledger.Charge(kStart, organisation, subscriber, cost);
+        fixture.ledger.Charge(kStart, organisation, subscriber, cost);
       } else if (waiting.empty() || rng() % 2 == 0) {
         waiting.push_back(
-            {RequestId{line.next++}, organisation, subscriber, 1, cost});
-        line.queue.Push(waiting.back());
+            {RequestId{fixture.next++}, organisation, subscriber, 1, cost});
+        fixture.queue.Push(waiting.back());
       } else if (rng() % 4 == 0) {
         const std::size_t index = rng() % waiting.size();
-        cr_assert(line.queue.Remove(waiting[index].request));
+        cr_assert(fixture.queue.Remove(waiting[index].request));
         waiting.erase(waiting.begin() + static_cast<std::ptrdiff_t>(index));
       } else {
-        PopAndCompare(line, waiting);
+        PopAndCompareWithSearch(fixture, waiting);
       }
     }
-    cr_assert_eq(line.queue.size(), waiting.size());
+    cr_assert_eq(fixture.queue.size(), waiting.size());
   }
 }
--- a/packages/decision/tests/shedding_test.cc
+++ b/packages/decision/tests/shedding_test.cc
@@ -54,7 +54,7 @@
     submission.body = "{}";
     submission.fingerprint = Fingerprint{++sent};
     coordinator.Submit(now, 0, std::move(submission));
-    Drain();
+    TakeActions();
   }
 
   /// Lets 100 ms pass and answers the call that ran.
@@ -70,10 +70,10 @@
       coordinator.OnAnswer(now, std::move(answer));
     }
     coordinator.Advance(now);
-    Drain();
+    TakeActions();
   }
 
-  void Drain() {
+  void TakeActions() {
     for (Action& action : coordinator.TakeActions()) {
       if (const auto* start = std::get_if<StartAttempt>(&action)) {
         coordinator.OnWritten(start->attempt);
--- a/packages/entry/include/gentianroute/entry/daemon.h
+++ b/packages/entry/include/gentianroute/entry/daemon.h
@@ -70,7 +70,7 @@
   void Touch();
   void Pump();
   void Execute(Action& action);
-  void Ask(const AskClaimer& ask);
+  void Ask(const QueryClaimHolder& ask);
   void Rearm();
   void PollHosts();
   void PollConfig();
--- a/packages/entry/src/backend_calls.cc
+++ b/packages/entry/src/backend_calls.cc
@@ -196,7 +196,7 @@
     calls_.erase(found);
     client_.Cancel(call);
   }
-  if (cancel.condemn_connections) {
+  if (cancel.close_idle_connections) {
     client_.CondemnConnections(cancel.server->host.address,
                                cancel.server->host.port);
   }
--- a/packages/entry/src/claim_sync.cc
+++ b/packages/entry/src/claim_sync.cc
@@ -5,9 +5,9 @@
 namespace gentianroute {
 
 void ClaimSync::Pump() {
-  for (ClaimStep& step : ledger_.TakeSteps()) {
-    const std::uint64_t number = step.step;
-    if (step.kind == ClaimStep::Kind::kRead) {
+  for (ClaimOperation& step : ledger_.TakeOperations()) {
+    const std::uint64_t number = step.id;
+    if (step.kind == ClaimOperation::Kind::kRead) {
       tables_.Read(std::move(step.reads),
                    [this, number](const ReadResult& result) {
                      ledger_.OnRead(loop_.Now(), number, result);
--- a/packages/entry/src/daemon.cc
+++ b/packages/entry/src/daemon.cc
@@ -144,7 +144,7 @@
   while (std::exchange(touched_, false)) {
     const TimePoint now = loop_.Now();
     coordinator_.Advance(now);
-    coordinator_.PumpClaims(now);
+    coordinator_.ProcessClaims(now);
     claim_sync_.Pump();
     for (Action& action : coordinator_.TakeActions()) {
       touched_ = true;
@@ -191,7 +191,7 @@
       }
       daemon.caller_api_.Finish(finish);
     }
-    void operator()(const AskClaimer& ask) const { daemon.Ask(ask); }
+    void operator()(const QueryClaimHolder& ask) const { daemon.Ask(ask); }
     void operator()(const AnswerJoin& answer) const {
       daemon.peer_service_.Answer(answer);
     }
@@ -199,11 +199,11 @@
   std::visit(Visitor{*this}, action);
 }
 
-void Daemon::Ask(const AskClaimer& ask) {
+void Daemon::Ask(const QueryClaimHolder& ask) {
   constexpr Duration kAskTimeout = std::chrono::seconds(2);
   const auto done = [this, id = ask.request,
                      token = ask.claim.token](const JoinOutcome& outcome) {
-    coordinator_.OnClaimerAnswered(loop_.Now(), id, token, outcome);
+    coordinator_.OnClaimHolderAnswered(loop_.Now(), id, token, outcome);
     Touch();
   };
   if (ask.claim.daemon != settings_.get().getName().cStr()) {
--- a/tests/random/claim_histories.cc
+++ b/tests/random/claim_histories.cc
@@ -52,9 +52,9 @@
 
   void Refuse(std::size_t who) {
     if (const auto step = NextStep(who)) {
-      step->kind == ClaimStep::Kind::kRead
-          ? ledgers_.at(who)->OnRead(now_, step->step, {})
-          : ledgers_.at(who)->OnTransacted(now_, step->step,
+      step->kind == ClaimOperation::Kind::kRead
+          ? ledgers_.at(who)->OnRead(now_, step->id, {})
+          : ledgers_.at(who)->OnTransacted(now_, step->id,
                                            {TableStatus::kRefused, {}, {}});
     }
   }
@@ -65,8 +65,8 @@
       return;
     }
     ClaimLedger& ledger = *ledgers_.at(who);
-    if (step->kind == ClaimStep::Kind::kRead) {
-      ledger.OnRead(now_, step->step,
+    if (step->kind == ClaimOperation::Kind::kRead) {
+      ledger.OnRead(now_, step->id,
                     takes_effect ? table_.Read(step->reads) : ReadResult{});
       return;
     }
@@ -77,7 +77,7 @@
     if (late) {
       late_.push_back(step->transaction);
     }
-    ledger.OnTransacted(now_, step->step, answered ? result : TransactResult{});
+    ledger.OnTransacted(now_, step->id, answered ? result : TransactResult{});
   }
 
   void ApplyLate(std::size_t /*who*/) {
@@ -109,22 +109,22 @@
     }
   }
 
-  std::optional<ClaimStep> NextStep(std::size_t who) {
-    std::deque<ClaimStep>& steps = steps_.at(who);
+  std::optional<ClaimOperation> NextStep(std::size_t who) {
+    std::deque<ClaimOperation>& steps = steps_.at(who);
     if (steps.empty()) {
       return std::nullopt;
     }
-    ClaimStep step = std::move(steps.front());
+    ClaimOperation step = std::move(steps.front());
     steps.pop_front();
     return step;
   }
 
   void Collect(std::size_t who) {
-    for (ClaimStep& step : ledgers_.at(who)->TakeSteps()) {
+    for (ClaimOperation& step : ledgers_.at(who)->TakeOperations()) {
       steps_.at(who).push_back(std::move(step));
     }
-    for (const ClaimVerdict& verdict : ledgers_.at(who)->TakeVerdicts()) {
-      if (verdict.outcome != ClaimOutcome::kStands) {
+    for (const ClaimResult& verdict : ledgers_.at(who)->TakeResults()) {
+      if (verdict.outcome != ClaimOutcome::kConfirmed) {
         continue;
       }
       RC_ASSERT(holder_.empty());
@@ -138,7 +138,7 @@
   FakeTable table_;
   TimePoint now_{};
   std::array<std::unique_ptr<ClaimLedger>, kLedgers> ledgers_;
-  std::array<std::deque<ClaimStep>, kLedgers> steps_;
+  std::array<std::deque<ClaimOperation>, kLedgers> steps_;
   std::deque<TableTransaction> late_;
   std::string holder_;
   std::size_t holder_ledger_ = 0;
--- a/tests/random/world.cc
+++ b/tests/random/world.cc
@@ -144,7 +144,7 @@
   Coordinator& coordinator = daemon.core->coordinator;
   coordinator.Advance(events_.now());
   for (bool busy = true; busy && daemon.id == id;) {
-    coordinator.PumpClaims(events_.now());
+    coordinator.ProcessClaims(events_.now());
     busy = StepStore(daemon);
     for (const Action& action : coordinator.TakeActions()) {
       busy = true;
@@ -156,10 +156,11 @@
 
 bool World::StepStore(Daemon& daemon) {
   const DaemonId id = daemon.id;
-  const std::vector<ClaimStep> steps = daemon.core->claims.TakeSteps();
-  for (const ClaimStep& step : steps) {
-    const std::uint64_t number = step.step;
-    if (step.kind == ClaimStep::Kind::kRead) {
+  const std::vector<ClaimOperation> steps =
+      daemon.core->claims.TakeOperations();
+  for (const ClaimOperation& step : steps) {
+    const std::uint64_t number = step.id;
+    if (step.kind == ClaimOperation::Kind::kRead) {
       store_.Read(step.reads, [this, id, number](const ReadResult& result) {
         Receive(id, [this, id, number, result](Coordinator&, TimePoint now) {
           daemons_[id.index].core->claims.OnRead(now, number, result);
@@ -296,14 +297,14 @@
   report_.unknown += work == WorkKnown::kUnknown ? 1 : 0;
 }
 
-void World::Do(Daemon& daemon, const AskClaimer& ask) {
+void World::Do(Daemon& daemon, const QueryClaimHolder& ask) {
   const DaemonId asker = daemon.id;
   const std::string token = ask.claim.token;
   const auto answer = [this, asker, request = ask.request,
                        token](const JoinOutcome& outcome) {
     Deliver(asker,
             [request, token, outcome](Coordinator& coordinator, TimePoint now) {
-              coordinator.OnClaimerAnswered(now, request, token, outcome);
+              coordinator.OnClaimHolderAnswered(now, request, token, outcome);
             });
   };
   // The asker gives up on a peer that is cut off or frozen; the peer's own
--- a/tests/random/world.h
+++ b/tests/random/world.h
@@ -90,7 +90,7 @@
   void Do(Daemon& daemon, const CancelAttempt& cancel);
   void Do(Daemon& daemon, const DeliverChunk& chunk);
   void Do(Daemon& daemon, const FinishRequest& finish);
-  void Do(Daemon& daemon, const AskClaimer& ask);
+  void Do(Daemon& daemon, const QueryClaimHolder& ask);
   void Do(Daemon& daemon, const AnswerJoin& answer);
   void Write(const BackendCall& call);
   void CheckAnswer(const Arrival& arrival, const FinishRequest& finish);
