--- a/packages/decision/include/gentianroute/decision/action.h
+++ b/packages/decision/include/gentianroute/decision/action.h
@@ -15,89 +15,92 @@
 
 namespace gentianroute {
 
-/// @brief What one stage took and cost, for Server-Timing and metrics.
+/// @brief Timing and cost of one stage, for Server-Timing and metrics.
 struct StageReport {
   std::string stage;
   Duration queued{0};
   Duration took{0};
   std::uint32_t attempts = 0;
-  std::uint32_t hedges = 0;  ///< of them, beside a call that was slow
-  std::uint64_t units = 0;   ///< as the backend server counts them
-  /// Bodies sent to and received from servers of other regions, by all
-  /// attempts.
+  std::uint32_t hedges = 0;  ///< attempts started to hedge a slow one
+  std::uint64_t units = 0;   ///< as reported by the backend server
+  /// Body bytes exchanged with servers of other regions, over all attempts.
   std::uint64_t billed_bytes = 0;
   std::int64_t cost = 0;  ///< micro-euros
 };
 
-/// @brief Sends one call of one stage to one backend server.
+/// @brief Sends a call of one stage to a backend server.
 struct StartAttempt {
   AttemptId attempt;
   RequestId request;
   ServerRef server;
   ProfileRef profile;  ///< keeps `stage()` alive
   std::size_t stage_index = 0;
-  std::string input;  ///< JSON: the request and the results so far
-  std::string key;    ///< idempotency key, for backends that recognise it
+  /// JSON: the request and the results of the earlier stages.
+  std::string input;
+  std::string key;  ///< idempotency key, for backends that deduplicate by it
   std::string trace_parent;
-  Duration remaining{0};            ///< what is left of the deadline
-  std::uint64_t resume_offset = 0;  ///< tokens that the daemon already holds
-  /// A call that must not repeat goes only over a connection proven alive.
+  Duration remaining{0};            ///< time left to the request's deadline
+  std::uint64_t resume_offset = 0;  ///< number of tokens already received
+  /// True for calls that must not be repeated: a reused connection may turn out
+  /// to be closed after the call was written.
   bool fresh_connection = false;
 
   const StageSpec& stage() const { return profile->stages[stage_index]; }
 };
 
-/// @brief Gives up one call; its answer, if any comes, is dropped.
+/// @brief Cancels one call; an answer that still arrives is dropped.
 struct CancelAttempt {
   AttemptId attempt;
   ServerRef server;
-  /// The connection went silent: close idle ones to the same server too.
+  /// Also close idle connections to the same server, since they may be broken
+  /// as well.
   bool close_idle_connections = false;
-  /// How the call failed, for the log; empty: its answer is no longer needed.
+  /// The failure, for the log; empty if the answer is no longer needed.
   std::string reason;
 };
 
-/// @brief Passes on a part of a streamed answer.
+/// @brief Sends a part of a streamed answer to the caller.
 struct DeliverChunk {
   RequestId request;
-  std::uint64_t offset = 0;  ///< tokens before this part
+  std::uint64_t offset = 0;  ///< number of tokens before this part
   std::string text;
 };
 
-/// @brief The one final answer to a request.
+/// @brief Final answer to a request; sent exactly once for each.
 struct FinishRequest {
   RequestId request;
   std::optional<ErrorKind> error;
-  std::string detail;     ///< with an error
-  std::string body;       ///< without one: JSON of the last stage's result
-  bool replayed = false;  ///< a stored or joined outcome of an earlier arrival
-  /// False: the error speaks of this arrival only. The row of its key was not
-  /// read, so an earlier arrival may have run.
+  std::string detail;     ///< error detail; empty without an error
+  std::string body;       ///< JSON result of the last stage; empty on error
+  bool replayed = false;  ///< outcome of an earlier request with the same key
+  /// False: the claim row of the key was not read, so an earlier request with
+  /// this key may have run. The error then describes this request only.
   bool key_checked = true;
   std::string service;
   std::string profile;
   std::string organisation;
   std::string subscriber;
   Duration took{0};
-  Duration first_token{0};  ///< zero: nothing was streamed
-  std::int64_t cost = 0;    ///< micro-euros
+  /// Time to the first token; zero if none was received.
+  Duration first_token{0};
+  std::int64_t cost = 0;  ///< micro-euros
   std::vector<StageReport> stages;
 };
 
-/// @brief Asks the daemon that holds a claim what became of it.
+/// @brief Asks the daemon that holds a claim for its outcome.
 struct QueryClaimHolder {
   RequestId request;
   Claim claim;
 };
 
-/// @brief A number that a peer's question is answered by.
+/// @brief Id of a peer's query, used to answer it.
 using JoinId = Id<struct JoinTag>;
 
-/// @brief What the claiming daemon knows of a token.
+/// @brief What the daemon that created a claim token knows of it.
 enum class JoinState : std::uint8_t {
-  kFinished,   ///< `error` or `body` tells how
-  kAbandoned,  ///< never dispatched and never will be
-  kUnknown,    ///< the daemon is gone, or was restarted
+  kFinished,   ///< ended with `error` or `body`
+  kAbandoned,  ///< not dispatched and never will be
+  kUnknown,    ///< no record: the daemon is gone, restarted or has forgotten it
 };
 
 struct JoinOutcome {
@@ -106,7 +109,7 @@
   std::string body;
 };
 
-/// @brief Answers a peer's question.
+/// @brief Answers a peer's query.
 struct AnswerJoin {
   JoinId join;
   JoinOutcome outcome;
--- a/packages/decision/include/gentianroute/decision/attempt.h
+++ b/packages/decision/include/gentianroute/decision/attempt.h
@@ -12,27 +12,27 @@
 
 /// @brief How a call of a stage failed.
 enum class AttemptFailure : std::uint8_t {
-  kConnect,      ///< no connection; no byte was written
-  kRefused,      ///< the server says that it did not run it
-  kLeaving,      ///< like kRefused, because the server is leaving
+  kConnect,      ///< could not connect; no byte was written
+  kRefused,      ///< the server reports that it did not run the call
+  kLeaving,      ///< like kRefused, since the server is shutting down
   kServerError,  ///< status 5xx
-  kRejected,     ///< status 4xx: another server would say the same
-  kTimeout,      ///< silent for longer than the stage allows
-  kReset,        ///< the connection broke with the call in flight
-  kTruncated,    ///< the answer is shorter than its framing says
-  kCrossed,      ///< the answer is another attempt's
+  kRejected,     ///< status 4xx; another server would return the same
+  kTimeout,      ///< no byte within the stage's timeout
+  kReset,        ///< the connection was reset with the call in flight
+  kTruncated,    ///< the answer is shorter than its framing announces
+  kCrossed,      ///< the answer names another attempt
   kGap,          ///< the stream skipped tokens
 };
 
-/// @brief What a failure says, by which the daemon goes on.
+/// @brief Properties of a failure that decide how it is handled.
 struct FailureTraits {
   AttemptFailure failure;
   const char* name;
-  bool may_have_run;             ///< an effect may have taken place
-  bool counts_against_server;    ///< counts against the server's health
-  bool retryable;                ///< another call may fare better
-  bool invalidates_connections;  ///< other connections to the server may be
-                                 ///< dead too
+  bool may_have_run;           ///< the server may have run the call
+  bool counts_against_server;  ///< recorded as a failure of the server's health
+  bool retryable;              ///< a call to another server may succeed
+  /// Other connections to the server may be broken too.
+  bool invalidates_connections;
 };
 
 /// @complexity constant
@@ -48,41 +48,43 @@
   std::size_t stage_index = 0;
   ServerRef server;
   TimePoint started{};
-  TimePoint next_byte_deadline{};  ///< given up if no byte comes before
-  bool written = false;            ///< the far end may have seen it
-  bool suspect = false;
-  TimePoint suspected_crash_at{};  ///< when a crash of its server was supposed;
-                                   ///< zero: no
-  bool crashed_beside_suspect = false;  ///< another suspect ran there as well
-  std::uint64_t billed_bytes = 0;  ///< that sending it moves between regions
+  /// Fails as kTimeout if no byte arrives before then.
+  TimePoint next_byte_deadline{};
+  bool written = false;  ///< the server may have received it
+  bool suspect = false;  ///< its request was a suspect at the start
+  /// When its server was last assumed to have crashed; zero if never.
+  TimePoint suspected_crash_at{};
+  /// At that crash a suspect with another fingerprint ran on the server.
+  bool crashed_beside_suspect = false;
+  std::uint64_t billed_bytes = 0;  ///< bytes sent to another region
 };
 
-/// @brief The calls in flight at one server; a crash ends them all.
+/// @brief The calls in flight at one server.
 using AttemptList =
     boost::intrusive::list<Attempt,
                            boost::intrusive::constant_time_size<false>>;
 
-/// @brief A whole answer to one call.
+/// @brief The complete answer to one call.
 struct AttemptAnswer {
-  AttemptId attempt;  ///< of the connection that it came over
-  AttemptId echoed;   ///< that the answer names
+  AttemptId attempt;  ///< the attempt that was sent on this connection
+  AttemptId echoed;   ///< the attempt that the answer names
   int status = 0;
   std::string body;
   std::uint64_t units = 0;
-  std::uint64_t received = 0;  ///< bytes of body that no chunk counted
+  std::uint64_t received = 0;  ///< body bytes not counted by an AttemptChunk
   std::uint32_t load = 0;
   bool has_load = false;
-  bool not_run = false;  ///< the server says that it refused before running
-  bool leaving = false;  ///< the server says that it is leaving
+  bool not_run = false;  ///< the server reports that it did not run the call
+  bool leaving = false;  ///< the server reports that it is shutting down
 };
 
 /// @brief A part of a streamed answer.
 struct AttemptChunk {
-  AttemptId attempt;
-  AttemptId echoed;
-  std::uint64_t offset = 0;    ///< tokens before this part
+  AttemptId attempt;           ///< as in AttemptAnswer
+  AttemptId echoed;            ///< as in AttemptAnswer
+  std::uint64_t offset = 0;    ///< number of tokens before this part
   std::string text;            ///< one token
-  std::uint64_t received = 0;  ///< bytes of body that brought it
+  std::uint64_t received = 0;  ///< body bytes received with this part
 };
 
 }  // namespace gentianroute
--- a/packages/decision/include/gentianroute/decision/claim.h
+++ b/packages/decision/include/gentianroute/decision/claim.h
@@ -10,17 +10,18 @@
 namespace gentianroute {
 
 enum class ClaimState : std::uint8_t {
-  kClaimed,   ///< its claimer may have called, or may still call
-  kAnswered,  ///< the outcome is in the row
-  kNotRun,    ///< given back: nothing ran, the key may be claimed again
+  kClaimed,   ///< its holder may have run the request or may still run it
+  kAnswered,  ///< the row holds the answer
+  kNotRun,    ///< released: nothing ran, the key may be claimed again
 };
 
-/// @brief The row that makes an idempotency key belong to one request.
+/// @brief Row of the table service that assigns an idempotency key to one
+/// request.
 struct Claim {
   std::string organisation;
   std::string key;
   std::string body_digest;
-  std::string token;  ///< unique to one request of one daemon incarnation
+  std::string token;  ///< unique per request and daemon incarnation
   std::string daemon;
   std::uint64_t incarnation = 0;
   ClaimState state = ClaimState::kClaimed;
@@ -29,19 +30,20 @@
   UnixMicros written_at = 0;
 };
 
-/// @brief What a claim attempt ended in.
+/// @brief How an attempt to claim a key ended.
 enum class ClaimOutcome : std::uint8_t {
-  kConfirmed,    ///< the store confirmed this request's own token
-  kTaken,        ///< the key is another request's; `holder` tells whose
-  kUnavailable,  ///< not confirmed; this request's token is abandoned for good
+  kConfirmed,    ///< the row holds this request's token
+  kTaken,        ///< another request holds the key, see `holder`
+  kUnavailable,  ///< not confirmed; the token will never be dispatched
 };
 
 struct ClaimResult {
   RequestId request;
   ClaimOutcome outcome = ClaimOutcome::kUnavailable;
-  std::string token;                 ///< of the request that asked
-  Claim holder;                      ///< with kTaken
-  std::uint64_t holder_version = 0;  ///< with kTaken: version of its row
+  std::string token;  ///< token of this request
+  Claim holder;       ///< empty unless kTaken
+  /// Version of the holder's row; 0 unless kTaken.
+  std::uint64_t holder_version = 0;
 };
 
 }  // namespace gentianroute
--- a/packages/decision/include/gentianroute/decision/claim_ledger.h
+++ b/packages/decision/include/gentianroute/decision/claim_ledger.h
@@ -14,7 +14,7 @@
 
 namespace gentianroute {
 
-/// @brief Text form of a claim row; the schema package has the real one.
+/// @brief Serialises claim rows; implemented by the schema package.
 class ClaimCodec {
  public:
   virtual ~ClaimCodec() = default;
@@ -22,21 +22,21 @@
   virtual std::optional<Claim> Decode(std::string_view text) const = 0;
 };
 
-/// @brief What the ledger wants done at the table service.
+/// @brief A read or transaction that the owner must send to the table service.
 struct ClaimOperation {
   enum class Kind : std::uint8_t { kTransact, kRead };
   Kind kind = Kind::kTransact;
-  std::uint64_t id = 0;  ///< echoed by OnTransacted and OnRead
+  std::uint64_t id = 0;  ///< passed back to OnTransacted or OnRead
   TableTransaction transaction;
   std::vector<TableKey> reads;
 };
 
-/// @brief Claims idempotency keys by conditional writes, many in one go.
+/// @brief Claims idempotency keys by conditional writes, in batches.
 ///
-/// A request may call a stage that must not repeat only after kConfirmed. Every
-/// other end of a claim (conflict, refusal, lost answer) forbids it: a token
+/// A request may run a stage that must not be repeated only after kConfirmed.
+/// After any other result (conflict, refusal, lost answer) it must not: a token
 /// whose write could not be confirmed is abandoned and never dispatched, even
-/// if the write takes effect later, so no two requests ever hold one key.
+/// if the write takes effect later, so two requests never run under one key.
 class ClaimLedger {
  public:
   struct Options {
@@ -44,19 +44,20 @@
     std::uint64_t incarnation = 0;
     Duration batch_window = std::chrono::milliseconds(5);
     std::size_t max_batch = 64;
-    /// Reads after a lost answer before the claim is given up.
+    /// Unanswered reads after a lost write before the claim fails.
     std::uint32_t max_reads = 2;
     Duration retry_delay = std::chrono::milliseconds(200);
-    /// How long the row of a result that could not be written is retried.
+    /// How long writing the outcome of a claim is retried.
     Duration settle_timeout = std::chrono::minutes(2);
   };
 
   ClaimLedger(Options options, const ClaimCodec& codec);
 
-  /// @brief Asks for a key.
-  /// @param replaces version of a row whose claimer has said that its token is
-  /// abandoned and can never be dispatched; 0: the key must be free
-  /// @return the token, which joins and later writes name
+  /// @brief Starts to claim a key. Its ClaimResult follows.
+  /// @param wall wall-clock time, stored in the row
+  /// @param replaces version of the row to replace, whose holder has reported
+  /// its token as abandoned; 0 if the key must be free
+  /// @return the token of the claim
   std::string Begin(TimePoint now,
                     UnixMicros wall,
                     RequestId request,
@@ -65,7 +66,7 @@
                     std::string_view body_digest,
                     std::uint64_t replaces = 0);
 
-  /// @brief Records the outcome of a claim that stands, or gives it back.
+  /// @brief Writes the outcome of a confirmed claim to its row, or releases it.
   /// @param state kAnswered or kNotRun
   void Settle(TimePoint now,
               std::string_view token,
@@ -73,8 +74,8 @@
               std::uint16_t status,
               std::string_view answer);
 
-  /// @brief Leaves the row of a claim that stands as it is: the effect may or
-  /// may not have taken place, and nobody may run the key again.
+  /// @brief Drops a confirmed claim and leaves its row as claimed: the effect
+  /// may have taken place, so the key must not be run again.
   void LeaveClaimed(std::string_view token);
 
   void OnTransacted(TimePoint now,
@@ -91,21 +92,21 @@
 
  private:
   enum class Phase : std::uint8_t {
-    kWaiting,   ///< not yet in a transaction
-    kWriting,   ///< in a transaction that is not answered
-    kReading,   ///< the answer was lost; reading back
-    kHeld,      ///< confirmed; the request may call
-    kSettling,  ///< the outcome waits to be written, or is being written
+    kWaiting,   ///< not yet part of a transaction
+    kWriting,   ///< part of a transaction in flight
+    kReading,   ///< the answer was lost; the row is read back
+    kHeld,      ///< confirmed; the request may run
+    kSettling,  ///< the outcome is queued for writing or being written
   };
   struct Entry {
     RequestId request;
     Claim claim;
     Phase phase = Phase::kWaiting;
-    std::uint64_t version = 0;  ///< of the row that our next write replaces
-    std::uint32_t reads = 0;
-    TimePoint due{};
-    TimePoint settle_deadline{};
-    bool in_flight = false;
+    std::uint64_t version = 0;    ///< row version that the next write expects
+    std::uint32_t reads = 0;      ///< unanswered reads
+    TimePoint due{};              ///< when its next operation may start
+    TimePoint settle_deadline{};  ///< end of the retries while kSettling
+    bool in_flight = false;       ///< part of an operation not yet answered
   };
 
   using Entries = std::map<std::string, Entry, std::less<>>;
--- a/packages/decision/include/gentianroute/decision/coordinator.h
+++ b/packages/decision/include/gentianroute/decision/coordinator.h
@@ -26,7 +26,7 @@
 
 namespace gentianroute {
 
-/// @brief What the coordinator has counted since its start.
+/// @brief Event counts since the coordinator was created.
 struct CoordinatorCounters {
   std::uint64_t submitted = 0;
   std::uint64_t answered = 0;
@@ -35,15 +35,17 @@
   std::uint64_t retries = 0;
   std::uint64_t retries_denied = 0;
   std::uint64_t hedges = 0;
-  std::uint64_t late_answers = 0;     ///< for an attempt already settled
-  std::uint64_t crossed_answers = 0;  ///< with another attempt's id
+  std::uint64_t late_answers = 0;     ///< for an attempt that had already ended
+  std::uint64_t crossed_answers = 0;  ///< named another attempt's id
   std::uint64_t duplicate_tokens = 0;
   std::uint64_t resumed_streams = 0;
   std::uint64_t joins = 0;
 };
 
-/// @brief Takes requests through their stages. No input or output: an event
-/// and the present time go in, actions come out of TakeActions().
+/// @brief Runs each request through the stages of its profile.
+///
+/// Performs no input or output. The owner passes in events with the current
+/// time and carries out the actions that TakeActions() returns.
 ///
 /// @example
 ///   coordinator.SetCatalogue(catalogue);
@@ -53,16 +55,19 @@
  public:
   struct Options {
     std::size_t max_queued = 2048;
-    std::size_t max_kept_outcomes = 4096;  ///< outcomes kept for joins
-    /// Share of the expected time that must be left for a start to make sense.
+    std::size_t max_kept_outcomes = 4096;  ///< outcomes kept to answer joins
+    /// A request is refused when the time left to its deadline is less than
+    /// this fraction of the expected duration of its remaining stages.
     double min_time_ratio = 0.5;
     std::uint64_t seed = 1;
     RetryBudget::Options retry_budget;
     QueueOrder queue_order = QueueOrder::kFair;
-    bool refuse_early = true;  ///< false: the baseline without early refusals
+    /// False disables load shedding and the refusal of requests that can't meet
+    /// their deadline; used as the baseline of benchmarks.
+    bool refuse_early = true;
   };
 
-  /// @param servers,usage,suspects,claims outlive the coordinator
+  /// @param servers,usage,suspects,claims must outlive the coordinator
   Coordinator(Options options,
               ServerTable& servers,
               UsageLedger& usage,
@@ -71,29 +76,34 @@
 
   void SetCatalogue(CatalogueRef catalogue);
 
-  /// @brief Takes a request in. Its one FinishRequest may be among the actions
-  /// at once.
-  /// @param wall only for the claim row
+  /// @brief Accepts a request. Exactly one FinishRequest follows for it,
+  /// possibly already in the next result of TakeActions().
+  /// @param wall wall-clock time, stored in the claim row
   RequestId Submit(TimePoint now, UnixMicros wall, Submission submission);
 
-  /// @brief Nobody reads the answer any more. A request with a claim runs on,
-  /// so that its resend finds an outcome; any other is cancelled.
+  /// @brief Reports that the caller has disconnected. A request with a claim,
+  /// or whose effect may have taken place, continues, so that a resend finds
+  /// its outcome; any other request is cancelled.
   void OnCallerGone(TimePoint now, RequestId request);
 
-  /// @brief Call after the claim ledger was fed.
+  /// @brief Handles the results of the claim ledger. Must be called after each
+  /// event that was passed to the ledger.
   void ProcessClaims(TimePoint now);
 
-  /// @brief The daemon asked by QueryClaimHolder has answered, or can't be
-  /// reached.
-  /// @param token that was asked about
+  /// @brief Reports the answer to a QueryClaimHolder, or that the daemon is
+  /// unreachable (JoinState::kUnknown).
+  /// @param token the claim token of the query
   void OnClaimHolderAnswered(TimePoint now,
                              RequestId request,
                              std::string_view token,
                              const JoinOutcome& outcome);
-  /// @brief A peer asks about a token of this daemon; AnswerJoin follows.
+  /// @brief Handles a peer's query for the outcome of a token of this daemon.
+  /// AnswerJoin follows as soon as the outcome is known.
+  /// @return the id that AnswerJoin will carry
   JoinId Join(TimePoint now, std::string_view token);
 
-  /// @brief The first byte of a call is about to be written.
+  /// @brief Reports that the first byte of a call is about to be written. From
+  /// here on the call counts as possibly run.
   void OnWritten(AttemptId attempt);
   void OnAnswer(TimePoint now, AttemptAnswer answer);
   void OnChunk(TimePoint now, AttemptChunk chunk);
@@ -102,10 +112,10 @@
                  AttemptFailure failure,
                  std::string_view detail);
 
-  /// @brief Servers came or went, or slots may have become free.
+  /// @brief Reports that the list of servers changed or slots may be free.
   void OnServersChanged(TimePoint now);
 
-  /// @brief Does what has come due.
+  /// @brief Runs all timers that are due.
   void Advance(TimePoint now);
   TimePoint NextDue() const;
 
@@ -117,7 +127,8 @@
   const Request* Find(RequestId request) const;
 
  private:
-  /// How often a request that waits for proof of a crash is looked at again.
+  /// Interval at which a request is checked again that waits until a crash is
+  /// confirmed or ruled out.
   static constexpr Duration kAccusedRetryInterval =
       std::chrono::milliseconds(200);
 
@@ -139,7 +150,8 @@
     std::string token;
     JoinOutcome outcome;
   };
-  /// A server that others leave alone until a suspect can run there by itself.
+  /// A server that gets no new calls, so that it becomes idle and a suspect can
+  /// run there alone.
   struct Reservation {
     ServerRef server;
     RequestId holder;
@@ -156,16 +168,17 @@
                                           const Request& request,
                                           std::string& detail);
   bool WouldWaitTooLong(TimePoint now, const Request& request);
-  /// @brief Enters the first stage, unless some stage's pool answers nobody.
-  void Begin(TimePoint now, Request& request);
+  /// @brief Enters the first stage, or refuses the request if the servers of
+  /// some stage's pool have not answered for some time.
+  void EnterFirstStage(TimePoint now, Request& request);
   const StageSpec* FindFailingStage(TimePoint now, const Request& request);
   void Shed(TimePoint now, std::string_view pool);
   FairQueue::Waiter WaiterOf(const Request& request,
                              const StageSpec& stage) const;
   void BeginClaim(TimePoint now, Request& request, std::uint64_t replaces);
-  void OnClaimResult(TimePoint now, const ClaimResult& verdict);
+  void OnClaimResult(TimePoint now, const ClaimResult& result);
   void AbandonToken(TimePoint now, Request& request);
-  void OnKeyTaken(TimePoint now, Request& request, const ClaimResult& verdict);
+  void OnKeyTaken(TimePoint now, Request& request, const ClaimResult& result);
   void FinishJoined(TimePoint now,
                     Request& request,
                     const JoinOutcome& outcome);
@@ -193,14 +206,16 @@
   bool IsHeld(TimePoint now, const Request& request) const;
   bool MustRefuse(TimePoint now, const Request& request) const;
   void Refuse(TimePoint now, RequestId request);
-  /// The record in force of a server that may have been restarted since.
+  /// Returns the current record of a server that may have been restarted
+  /// since `server` was obtained.
   ServerRef CurrentRecordOf(const ServerRef& server) const;
   std::vector<ServerRef> BusyServers() const;
   std::vector<ServerRef> SuspectServers() const;
-  /// Those where a suspect runs, or is about to run, by itself.
+  /// Returns the servers where a suspect runs, and the one reserved for a
+  /// suspect in this pool.
   std::vector<ServerRef> IsolatedServers(TimePoint now,
                                          std::string_view pool) const;
-  /// Those with a call that could not be made again.
+  /// Returns the servers with a call in flight that must not be repeated.
   std::vector<ServerRef> ServersWithUnrepeatableCalls() const;
   void CancelOthers(Request& request, AttemptId winner);
   void DispatchFreedPools(TimePoint now);
@@ -220,7 +235,8 @@
   void OnCrash(TimePoint now, const Server& server);
   void MarkRunningDuplicates(const std::set<Fingerprint>& suspects);
   void OnServerResponding(TimePoint now, Attempt& attempt);
-  /// Adds what came back of a call to what its stage is billed for.
+  /// Adds received bytes to the billed bytes of the stage if the server is in
+  /// another region.
   void CountReceived(const Attempt& attempt, std::uint64_t bytes);
   Attempt RemoveAttempt(AttemptId attempt);
   void CancelAll(Request& request);
@@ -228,7 +244,7 @@
   Duration ExpectedRemaining(const Request& request) const;
   Duration ExpectedDuration(const StageSpec& stage) const;
 
-  // Ends.
+  // Completion.
   void Finish(TimePoint now,
               Request& request,
               std::optional<ErrorKind> error,
@@ -267,7 +283,7 @@
   std::map<std::string, WaitEstimator, std::less<>> wait_estimators_;
   std::map<std::string, PoolHealth, std::less<>> pool_health_;
   std::unordered_map<std::string, Duration> mean_call_durations_;
-  /// Tokens of requests in progress, standing or still being claimed.
+  /// Claim tokens of requests in progress, confirmed or still being claimed.
   std::map<std::string, RequestId, std::less<>> live_tokens_;
   std::map<std::string, JoinWaiters, std::less<>> joins_;
   std::deque<FinishedClaim> finished_claims_;
@@ -278,9 +294,11 @@
   std::uint64_t next_attempt_ = 1;
   std::uint64_t next_join_ = 1;
   std::map<std::string, Reservation, std::less<>> reservations_;  ///< by pool
-  std::vector<ServerRef> suspect_servers_;  ///< one per suspect in flight
-  std::unordered_map<Fingerprint, std::uint32_t> running_;  ///< calls in flight
-  std::set<std::string> freed_pools_;  ///< a slot came free; not yet offered
+  std::vector<ServerRef> suspect_servers_;  ///< one entry per suspect call
+  /// Number of calls in flight, by fingerprint of the request.
+  std::unordered_map<Fingerprint, std::uint32_t> running_;
+  /// Pools with a slot freed since the last DispatchFreedPools().
+  std::set<std::string> freed_pools_;
 };
 
 }  // namespace gentianroute
--- a/packages/decision/include/gentianroute/decision/fair_queue.h
+++ b/packages/decision/include/gentianroute/decision/fair_queue.h
@@ -17,18 +17,18 @@
 
 namespace gentianroute {
 
-/// @brief Who goes first; kArrival is a baseline to measure with.
+/// @brief Queueing discipline; kArrival serves as the baseline of benchmarks.
 enum class QueueOrder : std::uint8_t {
-  kFair,     ///< by use per weight
+  kFair,     ///< by usage divided by weight
   kArrival,  ///< first come, first served
 };
 
-/// @brief What waits for one pool, in the order in which it may go.
+/// @brief Weighted fair queue of the requests that wait for one pool.
 ///
-/// Organisations go by use per weight, then subscribers of one organisation by
-/// their use, then first come, first served. Whoever used more than its share
-/// waits behind the others; when nobody else waits it goes at once, so that
-/// idle servers are never withheld from it.
+/// Organisations are ordered by usage divided by weight, the subscribers of one
+/// organisation by usage, and the requests of one subscriber by arrival. An
+/// organisation above its share waits behind the others, but the queue is
+/// work-conserving: it is served at once if nobody else waits.
 class FairQueue {
  public:
   struct Waiter {
@@ -36,59 +36,63 @@
     std::string organisation;
     std::string subscriber;
     double weight = 1;
-    double cost = 1;  ///< estimate in cost units, charged when it goes
+    double cost = 1;  ///< estimated cost units, charged by Pop
   };
 
   explicit FairQueue(UsageLedger& ledger, QueueOrder order = QueueOrder::kFair)
       : ledger_(ledger), order_(order) {}
 
-  FairQueue(const FairQueue&) = delete;  // its lines point into themselves
+  FairQueue(const FairQueue&) = delete;  // rankings point to queues
   FairQueue& operator=(const FairQueue&) = delete;
 
   /// @complexity logarithmic in organisations and in the subscribers of one
   void Push(Waiter waiter);
 
-  /// @brief Takes the next one out and charges its estimated cost.
-  /// @param now present time, for the decay of use
-  /// @param can_start asked in order; a false leaves that waiter where it is
-  /// @param max_checked waiters asked before giving up
-  /// @param skip passed over without being asked; not counted
-  /// @return nothing if no waiter may go
+  /// @brief Removes the next waiter and charges its estimated cost.
+  /// @param now current time, for the decay of usage
+  /// @param can_start called in order; a waiter stays queued if it returns
+  /// false
+  /// @param max_checked maximum number of calls of `can_start`
+  /// @param skip true for waiters to pass over; not counted in `max_checked`
+  /// @return empty if no waiter can start
   /// @complexity logarithmic in organisations and in the subscribers of one,
-  /// plus the waiters that may not go; linear in organisations once a second
+  /// plus the waiters that can't start; linear in organisations and
+  /// subscribers once a second
   std::optional<Waiter> Pop(
       TimePoint now,
       const std::function<bool(const Waiter&)>& can_start = nullptr,
       std::size_t max_checked = std::numeric_limits<std::size_t>::max(),
       const std::function<bool(const Waiter&)>& skip = nullptr);
 
-  /// @brief The one to drop when all can't be served: the last to come of the
-  /// heaviest subscriber of the heaviest organisation. Nothing is charged.
-  /// @return null if nobody waits; valid until the next change
-  /// @complexity constant, but for what Pop does once a second
+  /// @brief Returns the waiter to drop first under overload: the latest arrival
+  /// of the subscriber with the most usage in the organisation with the most
+  /// usage per weight. Nothing is charged.
+  /// @return null if the queue is empty; valid until the next change
+  /// @complexity constant, except for the update of ranks once a second
   const Waiter* LowestPriority(TimePoint now);
 
-  /// @brief Whether a newcomer would be the lowest, or as bad.
+  /// @brief Whether `newcomer` would rank last, or equal to the last.
   bool WouldBeLowestPriority(TimePoint now, const Waiter& newcomer);
 
-  /// @brief Takes one out that will not go: done, cancelled or out of time.
-  /// @complexity linear in what its subscriber has waiting
+  /// @brief Removes a request without charging it.
+  /// @return false if it isn't queued
+  /// @complexity linear in the waiters of its subscriber
   bool Remove(RequestId request);
 
   std::size_t size() const { return subscriber_of_request_.size(); }
   bool empty() const { return subscriber_of_request_.empty(); }
 
-  /// @brief Cost units that wait.
+  /// @brief Sum of the estimated cost of all waiters.
   double waiting_cost() const { return waiting_cost_; }
 
  private:
-  /// Place of a organisation among its like. A rank only grows between two full
-  /// rankings, but for corrections of a little: a key that is out of date
-  /// stands too early, and is put right when its organisation comes first.
+  /// Position of an organisation or subscriber in its ranking. Between two full
+  /// updates a rank only grows, except for small corrections. An outdated key
+  /// is therefore too low; it is updated when its queue comes first.
   template <typename Queue>
   struct Key {
     double rank;
-    std::uint64_t sequence;  ///< of the lines' making, for equal ranks
+    std::uint64_t sequence;  ///< order of creation, breaks ties of rank
     Queue* queue;
 
     bool operator<(const Key& other) const {
--- a/packages/decision/include/gentianroute/decision/retry_budget.h
+++ b/packages/decision/include/gentianroute/decision/retry_budget.h
@@ -5,11 +5,11 @@
 
 namespace gentianroute {
 
-/// @brief A share of recent successes that retries and hedges may spend.
+/// @brief Token bucket that limits retries and hedges to a share of successes.
 ///
-/// Without it a stage that fails is called `max_attempts` times by everyone at
-/// once, and stays down under the retries after its fault is gone. With it the
-/// extra calls are at most `ratio` of the calls that succeed, plus `burst`.
+/// Without it every request calls a failing stage `max_attempts` times, and the
+/// retries keep the stage overloaded after its fault is gone. With it the extra
+/// calls are at most `ratio` times the successful calls, plus `burst`.
 class RetryBudget {
  public:
   struct Options {
@@ -25,8 +25,8 @@
     tokens_ = std::min(options_.burst, tokens_ + options_.ratio);
   }
 
-  /// @brief Takes one extra call out of the budget.
-  /// @return false if there is none left; nothing is taken then
+  /// @brief Spends the budget for one extra call.
+  /// @return false, with nothing spent, if the budget is exhausted
   bool TryTake() {
     if (tokens_ < 1.0) {
       return false;
--- a/packages/decision/include/gentianroute/decision/wait_estimator.h
+++ b/packages/decision/include/gentianroute/decision/wait_estimator.h
@@ -7,13 +7,14 @@
 
 namespace gentianroute {
 
-/// @brief How fast a pool takes what waits for it, as measured.
+/// @brief Estimates the waiting time in a pool's queue.
 ///
-/// Slots and service times don't tell: other daemons use the same servers. The
-/// time between two starts does, while something waits in between.
+/// Keeps a moving average of the time between two starts, taken only while
+/// requests wait in between. The number of slots and the service times are no
+/// basis for this, since other daemons use the same servers.
 class WaitEstimator {
  public:
-  /// @param waiting whether others still wait after this start
+  /// @param waiting whether the queue is not empty after this start
   void OnStart(TimePoint now, bool waiting) {
     if (waited_) {
       const double seconds = Seconds(now - last_);
@@ -23,7 +24,8 @@
     waited_ = waiting;
   }
 
-  /// @return how long the last of so many will wait; zero while unknown
+  /// @return expected wait of the last of `waiters` requests; zero while
+  /// unknown
   Duration EstimateWait(std::size_t waiters) const {
     const double seconds = interval_ * static_cast<double>(waiters);
     return Duration(static_cast<std::int64_t>(seconds * 1e6));
--- a/packages/decision/src/claim_ledger.cc
+++ b/packages/decision/src/claim_ledger.cc
@@ -70,8 +70,8 @@
     const bool expired = entry->second.phase == Phase::kSettling &&
                          !entry->second.in_flight &&
                          now >= entry->second.settle_deadline;
-    // The row stays "claimed": a resend is told that the outcome is unknown,
-    // which is the truth for everyone but this daemon.
+    // The row stays claimed, so a resend is told that the outcome is unknown,
+    // which holds for all but this daemon.
     entry = expired ? entries_.erase(entry) : std::next(entry);
   }
   Flush(now);
@@ -102,8 +102,8 @@
       entry.in_flight = true;
       continue;
     }
-    // One transaction can't hold two writes of one row: the second waits for
-    // the next and then meets the first one's row.
+    // A transaction can't write a row twice: the second claim of a key waits
+    // for the next transaction and then conflicts with the first.
     if (written.size() >= options_.max_batch || !keys.insert(key).second) {
       continue;
     }
@@ -132,7 +132,7 @@
 std::vector<std::string> ClaimLedger::TakeTokens(std::uint64_t operation) {
   const auto found = operations_in_flight_.find(operation);
   if (found == operations_in_flight_.end()) {
-    return {};  // answered twice; the first answer counted
+    return {};  // duplicate answer; the first one was handled
   }
   std::vector<std::string> tokens = std::move(found->second);
   operations_in_flight_.erase(found);
@@ -174,8 +174,8 @@
                                 TableStatus status) {
   Entry& claim = entry->second;
   if (claim.phase == Phase::kSettling) {
-    // Written again under the same condition: if the lost write took effect,
-    // the conflict shows our own row and that ends it.
+    // Retried under the same condition: if the lost write took effect, the
+    // conflict returns this claim's own row and OnConflict ends the retries.
     claim.due = status == TableStatus::kConditionFailed
                     ? now
                     : now + options_.retry_delay;
@@ -183,7 +183,7 @@
   }
   switch (status) {
     case TableStatus::kConditionFailed:
-      // Another claim of the batch failed, and nothing was written.
+      // Another claim of the batch conflicted, so nothing was written.
       claim.phase = Phase::kWaiting;
       claim.due = now;
       break;
@@ -201,10 +201,10 @@
                              const TableRow& row) {
   Entry& claim = entry->second;
   const std::optional<Claim> holder = codec_.Decode(row.value);
-  const bool ours = holder.has_value() && holder->token == claim.claim.token;
+  const bool own_row = holder.has_value() && holder->token == claim.claim.token;
   if (claim.phase == Phase::kSettling) {
-    const bool settled = ours && holder->state != ClaimState::kClaimed;
-    if (settled || !ours) {
+    const bool settled = own_row && holder->state != ClaimState::kClaimed;
+    if (settled || !own_row) {
       entries_.erase(entry);
       return;
     }
@@ -212,7 +212,7 @@
     claim.due = now;
     return;
   }
-  if (ours) {
+  if (own_row) {
     Confirm(entry, row.version);
     return;
   }
@@ -225,7 +225,8 @@
     return;
   }
   if (!holder.has_value()) {
-    // A row that can't be read may stand for an effect: never run over it.
+    // A row that can't be decoded may belong to an effect, so it is never
+    // replaced.
     Conclude(entry, ClaimOutcome::kUnavailable);
     return;
   }
@@ -266,9 +267,9 @@
     ConcludeTaken(entry, *holder, row->version);
     return;
   }
-  // The lost write may still take effect after this read. Writing again would
-  // let two tokens meet, and calling now would run without a claim; so the
-  // token is given up for good and the caller is told that nothing ran.
+  // The lost write may still take effect after this read. Writing again could
+  // leave two tokens for one request, and dispatching now would run without a
+  // claim, so the token is abandoned and the caller is told that nothing ran.
   Conclude(entry, ClaimOutcome::kUnavailable);
 }
 
--- a/packages/decision/src/coordinator.cc
+++ b/packages/decision/src/coordinator.cc
@@ -70,18 +70,18 @@
     BeginClaim(now, request, 0);
     return;
   }
-  Begin(now, request);
+  EnterFirstStage(now, request);
 }
 
-void Coordinator::Begin(TimePoint now, Request& request) {
-  const StageSpec* dark = FindFailingStage(now, request);
-  if (dark == nullptr) {
+void Coordinator::EnterFirstStage(TimePoint now, Request& request) {
+  const StageSpec* failing_stage = FindFailingStage(now, request);
+  if (failing_stage == nullptr) {
     EnterStage(now, request);
     return;
   }
-  const Duration failing = pool_health_[dark->pool].FailingFor(now);
+  const Duration failing = pool_health_[failing_stage->pool].FailingFor(now);
   Finish(now, request, ErrorKind::kNoServer,
-         "no server of pool '" + dark->pool + "' has answered for " +
+         "no server of pool '" + failing_stage->pool + "' has answered for " +
              std::to_string(failing.count() / 1000) + " ms",
          {}, false);
 }
@@ -91,16 +91,18 @@
   if (!options_.refuse_early) {
     return nullptr;
   }
-  // Who weighs cost more is told soon, since the first stages would be paid for
-  // in vain. Who weighs attainment more goes on waiting: while an outage is
-  // short those that arrive at its end are still answered in time.
-  constexpr int kDeadlinesWaited = 10;
-  const bool thrifty = request.profile->objective == Objective::kCost;
-  const Duration patience =
-      thrifty ? Duration{0} : kDeadlinesWaited * (request.deadline - now);
+  // Profiles that minimise cost are refused early, since the cost of the first
+  // stages would be wasted. The others wait longer: if the outage is short,
+  // requests that arrive near its end can still be answered in time.
+  constexpr int kMaxFailingDeadlines = 10;
+  const bool minimises_cost = request.profile->objective == Objective::kCost;
+  const Duration max_failing_time =
+      minimises_cost ? Duration{0}
+                     : kMaxFailingDeadlines * (request.deadline - now);
   for (const StageSpec& stage : request.profile->stages) {
     const auto health = pool_health_.find(stage.pool);
-    if (health != pool_health_.end() && health->second.IsDark(now, patience) &&
+    if (health != pool_health_.end() &&
+        health->second.IsDark(now, max_failing_time) &&
         !health->second.TryProbe(now)) {
       return &stage;
     }
@@ -129,12 +131,12 @@
     detail = std::to_string(queued()) + " requests wait";
     return ErrorKind::kOverloaded;
   }
-  const Duration rest = ExpectedRemaining(request);
+  const Duration expected = ExpectedRemaining(request);
   const Duration left = request.deadline - now;
   if (options_.refuse_early &&
-      Seconds(left) < options_.min_time_ratio * Seconds(rest)) {
+      Seconds(left) < options_.min_time_ratio * Seconds(expected)) {
     detail = std::to_string(request.profile->stages.size()) + " stages need " +
-             std::to_string(rest.count() / 1000) + " ms, " +
+             std::to_string(expected.count() / 1000) + " ms, " +
              std::to_string(left.count() / 1000) + " ms are left";
     return ErrorKind::kDeadlineTooShort;
   }
@@ -168,12 +170,12 @@
 }
 
 Duration Coordinator::ExpectedRemaining(const Request& request) const {
-  Duration rest{0};
+  Duration expected{0};
   const auto& stages = request.profile->stages;
   for (std::size_t i = request.stage_index; i < stages.size(); ++i) {
-    rest += ExpectedDuration(stages[i]);
+    expected += ExpectedDuration(stages[i]);
   }
-  return rest;
+  return expected;
 }
 
 void Coordinator::OnCallerGone(TimePoint now, RequestId id) {
@@ -183,8 +185,8 @@
   }
   Request& request = found->second;
   request.caller_gone = true;
-  // An effect that may be under way runs on as well: cutting it off would make
-  // its outcome unknown to everyone.
+  // A call whose effect may be in progress continues too: cancelling it would
+  // leave its outcome unknown.
   if (!request.claim_token.empty() || request.EffectMayHaveRun()) {
     return;
   }
@@ -194,7 +196,7 @@
   DispatchFreedPools(now);
 }
 
-// --- Ends -------------------------------------------------------------------
+// --- Completion -------------------------------------------------------------
 
 void Coordinator::Finish(TimePoint now,
                          Request& request,
@@ -214,7 +216,7 @@
     }
   }
   if (error.has_value()) {
-    // A refusal that says "not run" must be true: no server saw any stage.
+    // "Not run" may only be answered if no server received any call.
     const WorkKnown work = AnswerFor(*error).work;
     GR_INVARIANT(work != WorkKnown::kNotRun || !request.MayHaveRun());
     GR_INVARIANT(work == WorkKnown::kUnknown || !request.EffectMayHaveRun());
@@ -244,13 +246,14 @@
   }
   ++(error.has_value() ? counters_.failed : counters_.answered);
   const std::string token = request.claim_token;
-  const bool stood = request.claim_confirmed;
+  const bool claim_confirmed = request.claim_confirmed;
   const RequestId id = request.id;
   JoinOutcome outcome{JoinState::kFinished, finish.error, finish.body};
   actions_.push_back(std::move(finish));
-  requests_.erase(id);  // exactly once: nothing finds the request any more
+  // From here on no event finds the request, so it finishes only once.
+  requests_.erase(id);
   if (!token.empty()) {
-    if (!stood) {
+    if (!claim_confirmed) {
       outcome = {JoinState::kAbandoned, std::nullopt, {}};
     }
     live_tokens_.erase(token);
@@ -310,10 +313,10 @@
     return;
   }
   Request& request = found->second;
-  const Duration rest = ExpectedRemaining(request);
+  const Duration expected = ExpectedRemaining(request);
   const TimePoint latest =
       request.deadline -
-      Duration(static_cast<std::int64_t>(static_cast<double>(rest.count()) *
+      Duration(static_cast<std::int64_t>(static_cast<double>(expected.count()) *
                                          options_.min_time_ratio));
   if (now < latest) {
     Arm(latest, TimerKind::kLatestStart, id);
--- a/packages/decision/src/coordinator_answers.cc
+++ b/packages/decision/src/coordinator_answers.cc
@@ -1,4 +1,4 @@
-// What becomes of a call: answered, streamed, failed, silent, hedged.
+// Answers, streams, failures, timeouts and hedges of calls.
 
 #include <algorithm>
 #include <utility>
@@ -35,8 +35,9 @@
   }
   CountReceived(found->second, answer.received);
   if (answer.echoed != answer.attempt) {
-    // Another request's answer: handing it on would show one family's letter
-    // to another. The connection is closed, since its order is lost.
+    // The answer belongs to another request; passing it on would disclose that
+    // request's data to this caller. The connection is closed, since its
+    // answers no longer match its calls.
     ++counters_.crossed_answers;
     OnFailure(now, answer.attempt, AttemptFailure::kCrossed,
               "the answer names another attempt");
@@ -72,7 +73,7 @@
                                 std::string result,
                                 const AttemptAnswer& answer,
                                 const Attempt& attempt) {
-  CancelAll(request);  // the other side of a hedge
+  CancelAll(request);  // the other attempt of a hedge
   const StageSpec& stage = request.stage();
   StageReport& report = request.reports.back();
   report.took = now - request.queued_at - report.queued;
@@ -88,9 +89,9 @@
                 request.submission.subscriber,
                 Seconds(took) - Seconds(measured));
   request.results.push_back(std::move(result));
-  if (request.OnLastStage()) {
-    // Only the whole request clears it: an answered first stage says nothing of
-    // the stage at which servers crash.
+  if (request.IsOnLastStage()) {
+    // Only a completed request is cleared: the answer of an early stage doesn't
+    // show that a later stage won't crash its server.
     suspects_.OnAnswered(attempt.fingerprint);
     std::string body = std::move(request.results.back());
     Finish(now, request, std::nullopt, {}, std::move(body), false);
@@ -118,7 +119,7 @@
   Request& request = requests_.at(attempt.request);
   attempt.next_byte_deadline = now + request.stage().first_byte_timeout;
   if (chunk.offset < request.offset) {
-    ++counters_.duplicate_tokens;  // resumed a little early, or hedged
+    ++counters_.duplicate_tokens;  // resumed at an earlier token, or hedged
     return;
   }
   if (chunk.offset > request.offset) {
@@ -131,11 +132,11 @@
   }
   ++request.offset;
   request.streamed += chunk.text;
-  // One text comes from one engine: the other side of a hedge may word it
-  // differently, and its tokens would be mixed in.
+  // All tokens must come from one server: the other attempt of a hedge may
+  // generate a different text, and their tokens would be mixed.
   CancelOthers(request, chunk.attempt);
   DispatchFreedPools(now);
-  if (!request.OnLastStage()) {
+  if (!request.IsOnLastStage()) {
     return;
   }
   if (request.first_token_at == TimePoint{}) {
@@ -156,10 +157,10 @@
     return;
   }
   if (failure == AttemptFailure::kConnect && found->second.written) {
-    // Bytes went out, so "no connection" can't mean that nothing ran.
+    // Bytes were written, so the server may have run the call.
     failure = AttemptFailure::kReset;
   }
-  const FailureTraits& meaning = TraitsOf(failure);
+  const FailureTraits& traits = TraitsOf(failure);
   if (failure == AttemptFailure::kReset && found->second.written) {
     OnReset(now, found->second);
   }
@@ -169,7 +170,7 @@
   const Attempt attempt = RemoveAttempt(id);
   Server& server = *attempt.server;
   PoolHealth& health = pool_health_[server.host.pool];
-  if (meaning.counts_against_server) {
+  if (traits.counts_against_server) {
     servers_.OnFailure(now, server, failure == AttemptFailure::kConnect);
     health.OnFailure(now);
   } else {
@@ -180,22 +181,23 @@
     servers_.MarkLeaving(server.host.name, server.host.incarnation);
   }
   actions_.push_back(
-      CancelAttempt{id, attempt.server, meaning.invalidates_connections,
-                    std::string(meaning.name) + ": " + std::string(detail)});
+      CancelAttempt{id, attempt.server, traits.invalidates_connections,
+                    std::string(traits.name) + ": " + std::string(detail)});
   Request& request = requests_.at(attempt.request);
-  if (attempt.written && !meaning.may_have_run) {
-    // The server says that it ran nothing, so this call has no effect.
+  if (attempt.written && !traits.may_have_run) {
+    // The server reports that it did not run the call, so it has no effect.
     --request.calls_maybe_run;
     request.effects_maybe_run -= request.stage().repeatable ? 0 : 1;
     request.stage_maybe_run = request.stage().MayRepeat();
   }
   if (attempt.crashed_beside_suspect && failure == AttemptFailure::kReset) {
-    // The other one's crash. Counted here, a neighbour that meets all crashes
-    // of the guilty one would be lost with it. What keeps a guilty neighbour
-    // from crashing on is quarantine, which counts each crash of everyone.
+    // Another request may have caused the crash. If such attempts counted, a
+    // request that happens to share all its servers would fail with it. A
+    // request that does crash servers is stopped by quarantine, which counts
+    // the crashes of all.
     ++request.attempts_exempted;
   }
-  if (request.attempts.empty()) {  // otherwise the hedge goes on
+  if (request.attempts.empty()) {  // else the other attempt continues
     Retry(now, request, failure, detail);
   }
   DispatchFreedPools(now);
@@ -210,36 +212,37 @@
                         AttemptFailure failure,
                         std::string_view detail) {
   const StageSpec& stage = request.stage();
-  const FailureTraits& meaning = TraitsOf(failure);
-  const bool harmless = !meaning.may_have_run || stage.MayRepeat();
+  const FailureTraits& traits = TraitsOf(failure);
+  const bool can_repeat = !traits.may_have_run || stage.MayRepeat();
   const bool quarantined =
       suspects_.IsQuarantined(now, request.submission.fingerprint);
-  bool again =
-      harmless && meaning.retryable && !quarantined &&
+  bool retry =
+      can_repeat && traits.retryable && !quarantined &&
       request.attempts_made - request.attempts_exempted < stage.max_attempts;
-  // A crash hits a whole batch at once, and until health notices, the server
-  // that is down refuses connections faster than the live ones answer. Innocent
-  // requests must not be lost to an empty budget for either: isolation bounds
-  // the calls after a crash, and a call without a connection loads no server.
-  const bool free = failure == AttemptFailure::kReset ||
-                    failure == AttemptFailure::kConnect ||
-                    failure == AttemptFailure::kLeaving;
-  if (again && !free && !RetryBudgetOf(stage.pool).TryTake()) {
+  // Some failures don't use the budget. A crash ends a whole batch at once, and
+  // until its health shows it, a server that is down refuses connections faster
+  // than the others answer; requests must not fail for lack of budget then.
+  // Isolation bounds the calls after a crash, and a call that never connected
+  // puts no load on a server.
+  const bool exempt_from_budget = failure == AttemptFailure::kReset ||
+                                  failure == AttemptFailure::kConnect ||
+                                  failure == AttemptFailure::kLeaving;
+  if (retry && !exempt_from_budget && !RetryBudgetOf(stage.pool).TryTake()) {
     ++counters_.retries_denied;
-    again = false;
+    retry = false;
   }
   if (failure == AttemptFailure::kConnect && !quarantined) {
     ++counters_.retries;
     BackOff(now, request);
     return;
   }
-  if (again && suspects_.IsAccused(now, request.submission.fingerprint)) {
+  if (retry && suspects_.IsAccused(now, request.submission.fingerprint)) {
     ++counters_.retries;
     request.phase = RequestPhase::kQueued;
     Arm(now + kAccusedRetryInterval, TimerKind::kBackOff, request.id.value);
     return;
   }
-  if (again) {
+  if (retry) {
     ++counters_.retries;
     counters_.resumed_streams += request.offset > 0 ? 1 : 0;
     Enqueue(now, request);
@@ -269,8 +272,8 @@
     return;
   }
   if (found->second.next_byte_deadline > now) {
-    // Tokens have come since. Each call has one such timer, which moves on when
-    // it is due: one a token would pile up by the thousand.
+    // Tokens have arrived since. Each call has a single timer, armed again when
+    // it is due: one per token would accumulate thousands of timers.
     Arm(found->second.next_byte_deadline, TimerKind::kNextByteTimeout, id);
     return;
   }
@@ -283,13 +286,13 @@
     return;
   }
   Request& request = requests_.at(found->second.request);
-  const bool alone = request.attempts.size() == 1;
-  if (!alone || request.offset > 0 || found->second.suspect ||
+  const bool is_only_attempt = request.attempts.size() == 1;
+  if (!is_only_attempt || request.offset > 0 || found->second.suspect ||
       request.attempts_made >= request.stage().max_attempts) {
     return;
   }
   ServerRef server;
-  // After a pause this timer may run before the deadline's.
+  // If the daemon was paused, this timer may run before the deadline timer.
   if (MustRefuse(now, request) || IsHeld(now, request) ||
       !TryPickServer(now, request, server) || server == found->second.server) {
     return;
--- a/packages/decision/src/coordinator_claims.cc
+++ b/packages/decision/src/coordinator_claims.cc
@@ -1,4 +1,4 @@
-// Claims, joins and stored outcomes of the coordinator.
+// Idempotency claims, joins and remembered outcomes.
 
 #include <algorithm>
 #include <utility>
@@ -21,29 +21,29 @@
 
 void Coordinator::ProcessClaims(TimePoint now) {
   claims_.Advance(now);
-  for (const ClaimResult& verdict : claims_.TakeResults()) {
-    OnClaimResult(now, verdict);
+  for (const ClaimResult& result : claims_.TakeResults()) {
+    OnClaimResult(now, result);
   }
 }
 
-void Coordinator::OnClaimResult(TimePoint now, const ClaimResult& verdict) {
-  const auto found = requests_.find(verdict.request);
+void Coordinator::OnClaimResult(TimePoint now, const ClaimResult& result) {
+  const auto found = requests_.find(result.request);
   if (found == requests_.end()) {
-    // Its deadline passed while the store was asked. Nothing was sent, so the
-    // key is given back and the caller's next try may run.
-    if (verdict.outcome == ClaimOutcome::kConfirmed) {
-      claims_.Settle(now, verdict.token, ClaimState::kNotRun, 0, {});
+    // The deadline passed while the claim was in flight. No call was sent, so
+    // the key is released and a resend by the caller may run.
+    if (result.outcome == ClaimOutcome::kConfirmed) {
+      claims_.Settle(now, result.token, ClaimState::kNotRun, 0, {});
     }
     return;
   }
   Request& request = found->second;
   GR_INVARIANT(request.phase == RequestPhase::kClaiming);
-  GR_INVARIANT(request.claim_token == verdict.token);
-  request.key_row_read |= verdict.outcome != ClaimOutcome::kUnavailable;
-  switch (verdict.outcome) {
+  GR_INVARIANT(request.claim_token == result.token);
+  request.key_row_read |= result.outcome != ClaimOutcome::kUnavailable;
+  switch (result.outcome) {
     case ClaimOutcome::kConfirmed:
       request.claim_confirmed = true;
-      Begin(now, request);
+      EnterFirstStage(now, request);
       break;
     case ClaimOutcome::kUnavailable:
       AbandonToken(now, request);
@@ -52,7 +52,7 @@
       break;
     case ClaimOutcome::kTaken:
       AbandonToken(now, request);
-      OnKeyTaken(now, request, verdict);
+      OnKeyTaken(now, request, result);
       break;
   }
 }
@@ -66,8 +66,8 @@
 
 void Coordinator::OnKeyTaken(TimePoint now,
                              Request& request,
-                             const ClaimResult& verdict) {
-  const Claim& holder = verdict.holder;
+                             const ClaimResult& result) {
+  const Claim& holder = result.holder;
   if (holder.body_digest != request.submission.body_digest) {
     Finish(
         now, request, ErrorKind::kKeyConflict,
@@ -82,7 +82,7 @@
   ++counters_.joins;
   request.phase = RequestPhase::kJoining;
   request.holder_token = holder.token;
-  request.holder_version = verdict.holder_version;
+  request.holder_version = result.holder_version;
   if (live_tokens_.contains(holder.token)) {
     joins_[holder.token].requests.push_back(request.id);
     return;
@@ -100,8 +100,9 @@
                                         std::string_view token,
                                         const JoinOutcome& outcome) {
   const auto found = requests_.find(id);
-  // An answer that comes twice, or after the request has met another holder,
-  // says nothing of that one: "abandoned" would take over a token that runs.
+  // A duplicate answer, or one about an earlier holder, doesn't apply to the
+  // current holder: acting on its "abandoned" would replace the claim of a
+  // request that may be running.
   if (found == requests_.end() ||
       found->second.phase != RequestPhase::kJoining ||
       found->second.holder_token != token) {
@@ -122,8 +123,9 @@
              outcome.body, true);
       break;
     case JoinState::kAbandoned:
-      // The row is replaced only as it was read: whoever else took it over in
-      // between has changed its version, and this claim then meets that one.
+      // The row is replaced only if its version is still the one read. If
+      // another request has replaced it since, this claim conflicts with that
+      // one.
       BeginClaim(now, request, request.holder_version);
       break;
     case JoinState::kUnknown:
@@ -149,7 +151,7 @@
       return remembered.outcome;
     }
   }
-  // Not running and not remembered: it may be older than the memory reaches.
+  // Neither running nor recorded; its record may have been dropped already.
   return {JoinState::kUnknown, std::nullopt, {}};
 }
 
--- a/packages/decision/src/coordinator_dispatch.cc
+++ b/packages/decision/src/coordinator_dispatch.cc
@@ -1,5 +1,5 @@
-// Who may go where: dispatch, and the isolation of requests that may crash
-// servers.
+// Dispatch of waiting requests to servers, and isolation of requests that may
+// crash them.
 
 #include <algorithm>
 #include <set>
@@ -12,7 +12,7 @@
 namespace gentianroute {
 namespace {
 
-/// Waiters asked per dispatch before the pool counts as busy.
+/// Waiters checked per dispatch before the pool is taken to be busy.
 constexpr std::size_t kMaxWaitersChecked = 16;
 
 void Append(std::vector<ServerRef>& to, const std::vector<ServerRef>& from) {
@@ -38,14 +38,14 @@
       }
       return TryPickServer(now, request, server);
     };
-    // Held suspects are not counted as asked: many of them at the front would
-    // else stop everyone behind them.
-    const auto held = [&](const FairQueue::Waiter& candidate) {
+    // Suspects on hold don't count as checked; otherwise many of them at the
+    // front would block all requests behind them.
+    const auto skip = [&](const FairQueue::Waiter& candidate) {
       const Request& request = requests_.at(candidate.request);
       return !MustRefuse(now, request) && IsHeld(now, request);
     };
     const auto waiter =
-        found->second.Pop(now, can_start, kMaxWaitersChecked, held);
+        found->second.Pop(now, can_start, kMaxWaitersChecked, skip);
     if (waiter.has_value()) {
       wait_estimators_[std::string(pool)].OnStart(now, !found->second.empty());
       Start(now, requests_.at(waiter->request), std::move(server));
@@ -69,8 +69,9 @@
 }
 
 bool Coordinator::MustRefuse(TimePoint now, const Request& request) const {
-  // Quarantine may have come from a peer, or from a twin, while it waited. A
-  // daemon that was paused may dispatch before its deadline timers have run.
+  // A peer or a request with the same fingerprint may have caused a quarantine
+  // while this one waited. A daemon that was paused may dispatch before its
+  // deadline timers have run.
   return now >= request.deadline ||
          suspects_.IsQuarantined(now, request.submission.fingerprint);
 }
@@ -92,9 +93,9 @@
 }
 
 bool Coordinator::IsHeld(TimePoint now, const Request& request) const {
-  // An accused request waits for the proof. Twins of a suspect go one at a
-  // time: side by side they would crash several servers before the first crash
-  // is known.
+  // An accused request waits until the crash is confirmed or ruled out.
+  // Suspects with the same fingerprint run one at a time: in parallel they
+  // could crash several servers before the first crash is noticed.
   const Fingerprint fingerprint = request.submission.fingerprint;
   return suspects_.IsAccused(now, fingerprint) ||
          (running_.contains(fingerprint) &&
@@ -180,16 +181,16 @@
     return TryPickServerForSuspect(now, request, context, server);
   }
   const std::vector<ServerRef> isolated = IsolatedServers(now, stage.pool);
-  std::vector<ServerRef> best = isolated;
-  Append(best, request.tried_servers);
-  if (Pick(now, context, best, server) ||
+  std::vector<ServerRef> preferably_avoided = isolated;
+  Append(preferably_avoided, request.tried_servers);
+  if (Pick(now, context, preferably_avoided, server) ||
       Pick(now, context, isolated, server)) {
     return true;
   }
   if (isolated.empty() || !stage.MayRepeat() ||
       request.phase != RequestPhase::kQueued) {
-    // Beside a suspect a call could be cut off: one that can't be made again,
-    // or a hedge, gains nothing there.
+    // A crash caused by the suspect would end this call too, so a call that
+    // must not be repeated, or a hedge, doesn't run beside one.
     return false;
   }
   if (now >= request.isolation_deadline) {
@@ -198,8 +199,8 @@
   }
   ArmIsolationTimer(request);
   context.avoid = isolated;
-  const bool others_work = servers_.LeastBusy(now, context) != nullptr;
-  return !others_work && ReservationAt(now, stage.pool) == nullptr &&
+  const bool can_run_elsewhere = servers_.LeastBusy(now, context) != nullptr;
+  return !can_run_elsewhere && ReservationAt(now, stage.pool) == nullptr &&
          Pick(now, context, {}, server);
 }
 
@@ -211,13 +212,14 @@
   if (!CanRunMoreSuspects(pool)) {
     return false;
   }
-  // Best is an idle server, where the crash hits nobody else. One that has just
-  // died looks idle too, hence only one in favour at first.
+  // An idle server comes first, since a crash there affects no other request. A
+  // server that has just crashed looks idle as well, hence at first only
+  // servers without recent failures.
   const std::vector<ServerRef> busy = BusyServers();
-  std::vector<ServerRef> best = busy;
-  Append(best, request.tried_servers);
+  std::vector<ServerRef> preferably_avoided = busy;
+  Append(preferably_avoided, request.tried_servers);
   context.in_favour_only = true;
-  if (Pick(now, context, best, server)) {
+  if (Pick(now, context, preferably_avoided, server)) {
     return true;
   }
   if (now < request.isolation_deadline) {
@@ -228,18 +230,20 @@
     std::vector<ServerRef> avoid = SuspectServers();
     Append(avoid, request.tried_servers);
     context.avoid = avoid;
-    const ServerRef quiet = servers_.LeastBusy(now, context);
-    if (quiet != nullptr) {
-      reservations_[pool] = {quiet, request.id};
+    const ServerRef least_busy = servers_.LeastBusy(now, context);
+    if (least_busy != nullptr) {
+      reservations_[pool] = {least_busy, request.id};
       return false;
     }
   }
-  // Never two suspects on one server, or its crash would name neither, and
-  // never beside a call whose outcome a crash would leave unknown.
-  std::vector<ServerRef> last = IsolatedServers(now, pool);
-  Append(last, ServersWithUnrepeatableCalls());
+  // Never two suspects on one server, since its crash would not tell which one
+  // caused it, and never beside a call whose outcome a crash would leave
+  // unknown.
+  std::vector<ServerRef> always_avoided = IsolatedServers(now, pool);
+  Append(always_avoided, ServersWithUnrepeatableCalls());
   context.in_favour_only = false;
-  return Pick(now, context, busy, server) || Pick(now, context, last, server);
+  return Pick(now, context, busy, server) ||
+         Pick(now, context, always_avoided, server);
 }
 
 const Coordinator::Reservation* Coordinator::ReservationAt(
@@ -251,14 +255,14 @@
   }
   const auto& [server, holder] = found->second;
   const auto request = requests_.find(holder);
-  const bool lasts =
+  const bool valid =
       request != requests_.end() &&
       request->second.phase == RequestPhase::kQueued &&
       now < request->second.isolation_deadline &&
       !IsHeld(now, request->second) &&
       suspects_.IsSuspect(now, request->second.submission.fingerprint) &&
       server->Accepts() && now >= server->out_of_favour_until;
-  return lasts ? &found->second : nullptr;
+  return valid ? &found->second : nullptr;
 }
 
 void Coordinator::StartReserved(TimePoint now,
@@ -268,18 +272,18 @@
   if (reservation == nullptr || reservation->server->in_flight > 0) {
     return;
   }
-  // In its turn it could come after more waiters than are asked, and the server
-  // would stand idle.
+  // Popped in queue order, the holder could come after more waiters than are
+  // checked, and the server would stay idle.
   const RequestId holder = reservation->holder;
   ServerRef server = reservation->server;
   const auto can_start = [&](const FairQueue::Waiter& candidate) {
     Request& request = requests_.at(candidate.request);
     return !MustRefuse(now, request) && TryPickServer(now, request, server);
   };
-  const auto others = [holder](const FairQueue::Waiter& candidate) {
+  const auto skip = [holder](const FairQueue::Waiter& candidate) {
     return candidate.request != holder;
   };
-  if (queue.Pop(now, can_start, 1, others).has_value()) {
+  if (queue.Pop(now, can_start, 1, skip).has_value()) {
     wait_estimators_[std::string(pool)].OnStart(now, !queue.empty());
     Start(now, requests_.at(holder), std::move(server));
   }
@@ -303,8 +307,8 @@
 }
 
 bool Coordinator::CanRunMoreSuspects(std::string_view pool) const {
-  // After a crash of a large batch its neighbours would else take all servers,
-  // one each, and every newcomer would run beside some suspect.
+  // Without the limit, the requests of a large batch that crashed would occupy
+  // all servers, one each, and every new request would run beside a suspect.
   constexpr std::ptrdiff_t kServersPerSuspect = 4;
   const auto running = std::ranges::count_if(
       suspect_servers_,
@@ -317,12 +321,12 @@
 }
 
 void Coordinator::OnReset(TimePoint now, const Attempt& attempt) {
-  // One crash breaks every connection at once: the second that breaks confirms
-  // it, and those that follow are no new crash.
+  // A crash resets all connections at once: the second reset confirms the
+  // crash, and further ones within the window are not counted as new crashes.
   constexpr Duration kSameCrashWindow = std::chrono::milliseconds(200);
-  const bool follows = attempt.suspected_crash_at != TimePoint{} &&
-                       now < attempt.suspected_crash_at + kSameCrashWindow;
-  if (follows) {
+  const bool same_crash = attempt.suspected_crash_at != TimePoint{} &&
+                          now < attempt.suspected_crash_at + kSameCrashWindow;
+  if (same_crash) {
     suspects_.OnServerDown(now, attempt.server->host.name);
   } else {
     OnCrash(now, *attempt.server);
@@ -330,10 +334,10 @@
 }
 
 void Coordinator::OnCrash(TimePoint now, const Server& server) {
-  // By name: a process that restarted before the list said so has calls under
-  // the record of its last incarnation too, and dies with all of them.
-  // Twins share a fingerprint and count once: else one crash of a batch with
-  // three equal letters in it would be three crashes of that letter.
+  // Compared by name: if the process restarted before the list of hosts showed
+  // it, calls are recorded under its previous incarnation too, and a crash ends
+  // all of them. Requests with the same fingerprint count once; otherwise one
+  // crash of a batch with three equal requests would count as three crashes.
   std::set<Fingerprint> in_flight;
   std::set<Fingerprint> suspects;
   for (auto& [record, attempts] : attempts_by_server_) {
@@ -369,9 +373,9 @@
 }
 
 void Coordinator::MarkRunningDuplicates(const std::set<Fingerprint>& suspects) {
-  // Equal requests run elsewhere already. Unless they count as suspects too,
-  // the guilty one is sent beside them and each of its crashes is held against
-  // them.
+  // Requests with the same fingerprint may run on other servers. Unless they
+  // are marked too, the request that causes the crashes may be sent beside
+  // them, and each of its crashes would count against them.
   for (auto& [id, attempt] : attempts_) {
     if (!attempt.suspect && suspects.contains(attempt.fingerprint)) {
       attempt.suspect = true;
@@ -381,7 +385,8 @@
 }
 
 void Coordinator::OnServerResponding(TimePoint now, Attempt& attempt) {
-  // Had the server crashed, this call would have broken with the other one.
+  // If the server had crashed, this call's connection would have been reset
+  // too.
   if (attempt.suspected_crash_at != TimePoint{} &&
       now > attempt.suspected_crash_at) {
     suspects_.OnServerAlive(now, attempt.server->host.name);
--- a/packages/decision/src/coordinator_stages.cc
+++ b/packages/decision/src/coordinator_stages.cc
@@ -1,5 +1,5 @@
-// Stages and the calls that they start; coordinator_answers.cc has what becomes
-// of a call, coordinator.cc admission, ends and timers.
+// Stages and starting their calls. The results of calls are handled in
+// coordinator_answers.cc; admission, completion and timers in coordinator.cc.
 
 #include <algorithm>
 #include <utility>
@@ -11,8 +11,8 @@
 namespace gentianroute {
 namespace {
 
-/// ExpectedDuration times that must be left when a request stops waiting for a
-/// server by itself, or for one without a suspect.
+/// A request stops waiting for an isolated server when the time left to its
+/// deadline is this many times its expected remaining duration.
 constexpr int kIsolationReserveFactor = 2;
 
 }  // namespace
@@ -47,7 +47,7 @@
   const std::string pool = stage.pool;
   Dispatch(now, pool);
   if (options_.refuse_early) {
-    Shed(now, pool);  // may end this request
+    Shed(now, pool);  // may finish and destroy `request`
   }
 }
 
@@ -60,15 +60,15 @@
 
 void Coordinator::Shed(TimePoint now, std::string_view pool) {
   FairQueue& queue = queues_.find(pool)->second;
-  const WaitEstimator& pace =
+  const WaitEstimator& estimator =
       wait_estimators_.try_emplace(std::string(pool)).first->second;
-  // The lowest one goes last, so it waits for all the others. Once that takes
-  // longer than its deadline allows it is told so at once. Without this the
-  // line grows until everybody in it, light ones too, goes just too late.
+  // The waiter of lowest priority is served after all others. It is refused as
+  // soon as that wait exceeds its deadline. Otherwise the queue would grow
+  // until all requests in it miss their deadlines, also those of light users.
   while (const FairQueue::Waiter* lowest = queue.LowestPriority(now)) {
     Request& request = requests_.at(lowest->request);
     const TimePoint latest = request.deadline - ExpectedRemaining(request);
-    if (now + pace.EstimateWait(queue.size()) <= latest ||
+    if (now + estimator.EstimateWait(queue.size()) <= latest ||
         request.EffectMayHaveRun()) {
       return;
     }
@@ -80,9 +80,9 @@
 }
 
 void Coordinator::BackOff(TimePoint now, Request& request) {
-  // Nothing ran, so a call without a connection uses up no attempt. While all
-  // servers of a pool restart they refuse within milliseconds; giving up then
-  // would lose a request whose deadline is seconds away.
+  // A call that could not connect did not run and doesn't count as an attempt.
+  // While all servers of a pool restart, they refuse connections within
+  // milliseconds; failing then would lose a request with seconds left.
   constexpr Duration kInitialDelay = std::chrono::milliseconds(20);
   constexpr std::uint32_t kMaxDoublings = 4;
   --request.attempts_made;
@@ -115,9 +115,9 @@
 
 void Coordinator::Start(TimePoint now, Request& request, ServerRef server) {
   const StageSpec& stage = request.stage();
-  // At most once: a stage that must not repeat leaves the daemon only while no
-  // earlier call of it may have run, and, with a key, only under a claim that
-  // the store confirmed.
+  // At most once: a stage that must not be repeated is only called if no
+  // earlier call of it may have run and, for a request with a key, the claim
+  // has been confirmed by the table service.
   GR_INVARIANT(stage.MayRepeat() || !request.stage_maybe_run);
   GR_INVARIANT(request.claim_token.empty() || request.claim_confirmed);
   GR_INVARIANT(server->Accepts());
@@ -221,7 +221,7 @@
     suspect_servers_.erase(std::ranges::find(suspect_servers_, attempt.server));
   }
   if (suspects_.HasSuspects()) {
-    // Suspects of any pool may have waited for this one.
+    // Suspects in any pool may have been waiting for this call to end.
     for (const auto& [pool, queue] : queues_) {
       freed_pools_.insert(pool);
     }
--- a/packages/decision/src/fair_queue.cc
+++ b/packages/decision/src/fair_queue.cc
@@ -6,10 +6,11 @@
 namespace gentianroute {
 namespace {
 
-/// How long a rank that fell, by a correction or a peer's news, may stand.
+/// Maximum delay until a rank that decreased, by a correction or a peer's
+/// report, takes effect.
 constexpr Duration kRankUpdateInterval = std::chrono::seconds(1);
 
-/// Puts a queue where its rank belongs.
+/// Moves a queue to the position of its new rank.
 template <typename Ranking, typename Queue>
 void UpdateRank(Ranking& ranking, Queue& queue, double rank) {
   auto node = ranking.extract(queue.position);
@@ -17,7 +18,7 @@
   queue.position = ranking.insert(std::move(node)).position;
 }
 
-/// Calls `use` for each queue in the order of present ranks, until it says yes.
+/// Calls `use` for each queue in order of current ranks, until it returns true.
 template <typename Ranking, typename Rank, typename Use>
 void ForEachRanked(Ranking& ranking, const Rank& rank, const Use& use) {
   auto position = ranking.begin();
@@ -30,7 +31,7 @@
       UpdateRank(ranking, *queue, present);
     }
     if (grew && next != ranking.end() && *next < *queue->position) {
-      position = next;  // others come first now; this one again in its turn
+      position = next;  // visited again at its new position
       continue;
     }
     if (use(*queue)) {
