--- a/packages/decision/tests/billed_bytes_test.cc
+++ b/packages/decision/tests/billed_bytes_test.cc
@@ -29,8 +29,9 @@
 
 }  // namespace
 
-// The first call fails with a body of 30 bytes, the second is answered with
-// 100. Both crossed the regions, so the stage is billed for both ways of both.
+// The first call fails with a body of 30 bytes, the second is answered with 100
+// bytes. Both go to another region, so the bytes sent and received by both are
+// billed.
 Test(billed_bytes, every_call_to_another_region_counts_both_ways) {
   Bench bench({FarHost("e1", "encode"), FarHost("e2", "encode")});
   const RequestId id = bench.Submit(SubmissionOf("lookups", "x"));
--- a/packages/decision/tests/claims_test.cc
+++ b/packages/decision/tests/claims_test.cc
@@ -17,15 +17,16 @@
 
 const TableKey kRow{"claims", "org/key-1"};
 
-/// @brief The only operation that the ledger wants done.
+/// @brief Takes the ledger's operations, of which there must be exactly one.
 ClaimOperation OnlyOperation(Bench& bench) {
   std::vector<ClaimOperation> operations = bench.core.claims.TakeOperations();
   cr_assert_eq(operations.size(), 1U);
   return operations.front();
 }
 
-/// @brief The write's answer is lost and the read-back finds no row; the write
-/// takes effect only afterwards, if at all.
+/// @brief Loses the answer to the claim's write and lets the read-back find no
+/// row.
+/// @return the write, which the test may apply afterwards
 TableTransaction LoseClaimWrite(Bench& bench) {
   bench.Advance(milliseconds(5));
   const ClaimOperation write = OnlyOperation(bench);
@@ -39,9 +40,9 @@
 
 }  // namespace
 
-// The answer to the claim's write is lost and the row is not there on reading
-// back. The caller is told "not run"; the write takes effect afterwards, and
-// the abandoned token must still never be called under.
+// The answer to the claim's write is lost and the read-back finds no row, so
+// the caller is told that nothing ran. When the write takes effect afterwards,
+// the abandoned token must not be dispatched.
 Test(claims, write_that_takes_effect_after_the_read_back_runs_nothing) {
   Bench bench(Orders());
   const RequestId id = bench.Submit(Order());
@@ -52,8 +53,8 @@
   cr_assert(bench.starts.empty());
 }
 
-// As above, and then the caller sends the key again to the same daemon. The row
-// is the daemon's own abandoned token: it takes the row over and runs once.
+// As above, then the caller resends to the same daemon. The row holds the
+// daemon's own abandoned token, so it replaces the row and runs once.
 Test(claims, resend_takes_over_an_abandoned_token_of_its_own_daemon) {
   Bench bench(Orders());
   bench.Submit(Order());
@@ -66,8 +67,8 @@
   cr_assert(!bench.FinishOf(resend)->error.has_value());
 }
 
-// The resend goes to another daemon. It queries the first, which says that the
-// token was abandoned; it then replaces the row as read and runs once.
+// The resend goes to another daemon, which asks the first one. Told that the
+// token was abandoned, it replaces the row and runs once.
 Test(claims, resend_takes_over_an_abandoned_token_of_a_peer) {
   Bench first(Orders());
   first.Submit(Order());
@@ -87,9 +88,9 @@
   cr_assert_eq(second.starts.size(), 1U);
 }
 
-// A peer queries about a token whose write took effect while its own daemon
-// still waits for the answer. It is neither abandoned nor unknown: the peer
-// waits.
+// A peer asks about a token whose write took effect while its daemon still
+// waits for the answer. It is neither abandoned nor unknown, so the peer must
+// wait for the outcome.
 Test(claims, join_of_a_token_still_being_claimed_waits_for_its_outcome) {
   Bench bench(Orders());
   bench.Submit(Order());
@@ -108,9 +109,9 @@
   cr_assert(bench.joins.at(0).outcome.body == "1");
 }
 
-// A peer's "abandoned" for one token arrives again after the request has met
-// another holder, who runs. Believing it would take the row over and order a
-// second plaque.
+// A peer's answer "abandoned" arrives twice, the second time after the request
+// has found another holder that runs. Acting on it would replace that holder's
+// row and run the order twice.
 Test(claims, doubled_answer_of_a_claimer_does_not_replace_the_next_holder) {
   Bench bench(Orders());
   Claim old{"org", "key-1", "plaque", "daemon-2:1:1", "daemon-2", 1};
@@ -132,8 +133,8 @@
   cr_assert_eq(bench.queries.size(), 2U);
 }
 
-// The deadline passes while the claim is in flight, and the claim then stands.
-// Nothing ran: the caller was told so, and the key is given back for a resend.
+// The deadline passes before the claim is confirmed. Nothing ran, so the key
+// must be released for a resend.
 Test(claims, claim_that_stands_after_the_deadline_is_given_back) {
   Bench bench(Orders());
   Submission order = Order();
@@ -153,8 +154,8 @@
   cr_assert_eq(bench.starts.size(), 1U);
 }
 
-// The same key twice at one daemon: one call, and both callers get its answer.
-// With another body it is a conflict, told at once.
+// Two requests with the same key at one daemon: one call runs and both get its
+// answer. A request with another body is refused as a conflict.
 Test(claims, same_key_twice_is_called_once_and_both_are_answered) {
   Bench bench(Orders());
   const RequestId first = bench.Submit(Order());
@@ -174,8 +175,8 @@
   cr_assert_eq(bench.starts.size(), 1U);
 }
 
-// The order was written and never answered. A resend, also one to a restarted
-// daemon, must be told that the outcome is unknown, and never runs the order.
+// An order was written and never answered. A resend must be told that the
+// outcome is unknown, and must not run the order.
 Test(claims, resend_after_an_unanswered_order_is_told_the_outcome_is_unknown) {
   Bench bench(Orders());
   const RequestId first = bench.Submit(Order());
@@ -189,9 +190,9 @@
   cr_assert_eq(bench.starts.size(), 1U);
 }
 
-// An earlier arrival of the key ran, at another daemon. Its resend is refused
-// before the row was read: "not run" is true of this arrival alone, and the
-// answer says that the key was not looked at. Once the row was read it doesn't.
+// A request refused before its claim row was read may be a resend of one that
+// ran at another daemon. The refusal must say that the key was not checked;
+// after the row was read it must not.
 Test(claims, refusal_before_the_row_is_read_says_key_not_checked) {
   Bench bench(Orders());
   bench.List({});
--- a/packages/decision/tests/coordinator_test.cc
+++ b/packages/decision/tests/coordinator_test.cc
@@ -7,12 +7,12 @@
 using namespace gentianroute;           // NOLINT(google-build-using-namespace)
 using namespace gentianroute::testing;  // NOLINT(google-build-using-namespace)
 
-// --- Results reach only their own request, whole
+// --- Results reach only their own request, complete
 // ------------------------------
 
-// The caller gets its own answer although the connection first carries another
-// request's. The crossed answer fails the call, its connection is closed, and
-// the retry's answer is the one that counts. A late copy changes nothing.
+// The connection first delivers the answer of another request. That answer must
+// fail the attempt and close the connection, and the caller must get the answer
+// of the retry. Late and duplicate answers are ignored.
 Test(coordinator, crossed_then_late_answer_never_reaches_the_caller) {
   Bench bench({HostOf("e1", "encode"), HostOf("e2", "encode")});
   const RequestId id = bench.Submit(SubmissionOf("lookups", "mine"));
@@ -35,9 +35,8 @@
   cr_assert(bench.FinishOf(id)->body == "\"mine\"");
 }
 
-// The stream breaks after two tokens; another engine resumes a little early.
-// Tokens that were received already are dropped, so that the caller's text is
-// exact.
+// The stream breaks after two tokens, and another server resumes at an earlier
+// token than requested. Tokens already received must be dropped.
 Test(coordinator, stream_resumed_early_has_each_token_once) {
   Bench bench({HostOf("e1", "encode"), HostOf("g1", "generate"),
                HostOf("g2", "generate")});
@@ -61,8 +60,8 @@
   cr_assert(bench.FinishOf(id)->body == "\"abc\"");
 }
 
-// A stream skips a token. The gap fails the call before anything behind it is
-// taken, and the next engine resumes at the token that is missing.
+// A stream skips a token. The attempt must fail before any token after the gap
+// is accepted, and the next server must resume at the missing token.
 Test(coordinator, stream_with_a_gap_is_resumed_before_the_gap) {
   Bench bench({HostOf("e1", "encode"), HostOf("g1", "generate"),
                HostOf("g2", "generate")});
@@ -82,8 +81,8 @@
   cr_assert(bench.FinishOf(id)->body == "\"abc\"");
 }
 
-// Both sides of a hedge stream. The first token decides: the other side is
-// cancelled, or two engines' wordings would be mixed into one letter.
+// Both attempts of a hedge stream. The one with the first token is kept and the
+// other cancelled; otherwise the texts of two servers would be mixed.
 Test(coordinator, hedged_stream_takes_its_text_from_one_engine) {
   Bench bench({HostOf("e1", "encode"), HostOf("g1", "generate"),
                HostOf("g2", "generate")});
@@ -113,8 +112,8 @@
 // --- "Not run" is true
 // --------------------------------------------------------
 
-// The caller of an order without a key hangs up while the order runs. The
-// daemon lives on, lets the order finish and says nothing untrue of it.
+// The caller of an order without a key disconnects while the order runs. The
+// call must not be cancelled, since its outcome would be unknown.
 Test(coordinator, caller_gone_during_an_unkeyed_order_lets_it_finish) {
   Bench bench({HostOf("o1", "order")});
   const RequestId id = bench.Submit(SubmissionOf("orders", "plaque"));
@@ -126,8 +125,8 @@
   cr_assert(!bench.FinishOf(id)->error.has_value());
 }
 
-// A far end reports "no connection" for a call whose bytes went out. Taking it
-// at its word would run the order a second time, or call it not run.
+// A connect failure is reported for a call whose bytes were written. If it were
+// handled as such, the order would run twice or be reported as not run.
 Test(coordinator, connect_failure_after_bytes_went_out_is_outcome_unknown) {
   Bench bench({HostOf("o1", "order"), HostOf("o2", "order")});
   const RequestId id = bench.Submit(SubmissionOf("orders", "plaque"));
@@ -137,8 +136,9 @@
   cr_assert(bench.FinishOf(id)->error == ErrorKind::kOutcomeUnknown);
 }
 
-// A daemon frozen past every deadline resumes and first sees a free server, not
-// its timers. No call may start for a request whose deadline has passed.
+// A daemon paused beyond all deadlines resumes, and an answer frees a slot
+// before the deadline timers run. No call may start for a request whose
+// deadline has passed.
 Test(coordinator, frozen_daemon_starts_nothing_past_the_deadline) {
   Bench bench({HostOf("e1", "encode", 1)});
   const RequestId first = bench.Submit(SubmissionOf("lookups", "a"));
@@ -151,8 +151,8 @@
   cr_assert(bench.FinishOf(second)->error == ErrorKind::kDeadlineBeforeStart);
 }
 
-// The only slot frees itself because its request runs out of time. The next
-// request must go at once; nothing else happens that would wake it.
+// A deadline frees the only slot. The waiting request must start at once, since
+// no other event would trigger its dispatch.
 Test(coordinator, slot_freed_by_a_deadline_goes_to_the_next_waiter) {
   Bench bench({HostOf("e1", "encode", 1)});
   Submission first = SubmissionOf("lookups", "a");
@@ -165,12 +165,12 @@
   cr_assert_eq(bench.starts.size(), 2U);
 }
 
-// --- Regressions of random runs
+// --- Regressions found by random_requests
 // -----------------------------------------------
 
-// random_requests --seed 1: a frozen daemon resumes with a hedge timer and a
-// deadline both past. The hedge's timer is the older one and runs first; it
-// must not start a call that nobody waits for.
+// random_requests --seed 1: a paused daemon resumes with a hedge timer and a
+// deadline timer overdue. The hedge timer runs first and must not start a call
+// for the expired request.
 Test(coordinator, frozen_daemon_starts_no_hedge_past_the_deadline) {
   Bench bench({HostOf("e1", "encode"), HostOf("e2", "encode")});
   auto catalogue = std::make_shared<Catalogue>(*TestCatalogue());
@@ -185,9 +185,9 @@
   cr_assert(bench.FinishOf(id)->error == ErrorKind::kDeadlineExceeded);
 }
 
-// random_requests --seed 8, where most servers of a pool restart at once: they
-// refuse connections within milliseconds and used up all attempts. Nothing ran
-// and seconds are left, so the request waits and is answered.
+// random_requests --seed 8: most servers of a pool restart at once and refuse
+// connections within milliseconds, which used up all attempts. Since nothing
+// ran and seconds are left, the request must wait and be answered.
 Test(coordinator, request_outlasts_a_restart_of_its_whole_pool) {
   Bench bench({HostOf("e1", "encode"), HostOf("e2", "encode")});
   const RequestId id = bench.Submit(SubmissionOf("lookups", "a"));
--- a/packages/decision/tests/crashes_test.cc
+++ b/packages/decision/tests/crashes_test.cc
@@ -17,18 +17,20 @@
   return hosts;
 }
 
-/// @brief Adds a service of one stage, whose calls may be silent for long.
-void AddSingle(Bench& bench, const std::string& name, StageSpec stage) {
+/// @brief Adds a service of one stage whose calls don't time out in the test.
+void AddSingleStageService(Bench& bench,
+                           const std::string& name,
+                           StageSpec stage) {
   auto catalogue = std::make_shared<Catalogue>(*TestCatalogue());
   stage.first_byte_timeout = seconds(60);
   AddService(*catalogue, name, {std::move(stage)});
   bench.coordinator().SetCatalogue(catalogue);
 }
 
-/// @brief Runs everything to its end: a server that holds one of the guilty
-/// crashes, else its calls are answered.
-/// @return servers lost
-int RunToEnd(Bench& bench, const std::set<std::string>& guilty) {
+/// @brief Runs all requests to completion. A server that runs a request of
+/// `crashing` crashes; the calls of other servers are answered.
+/// @return number of crashes
+int RunToEnd(Bench& bench, const std::set<std::string>& crashing) {
   int lost = 0;
   for (std::size_t next = 0; next < bench.starts.size(); ++next) {
     const StartAttempt start = bench.starts.at(next);
@@ -42,8 +44,8 @@
       const auto at =
           std::ranges::find(bench.starts, attempt, &StartAttempt::attempt);
       const Request* request = bench.coordinator().Find(at->request);
-      crashes |= guilty.contains(request->submission.body_digest);
-      // The first of the batch to be looked at writes them all.
+      crashes |= crashing.contains(request->submission.body_digest);
+      // All calls of the server are written when the first is reached.
       if (bench.coordinator().Find(at->request)->calls_maybe_run <
           request->attempts_made) {
         bench.Write(attempt);
@@ -61,33 +63,34 @@
 
 }  // namespace
 
-// Twelve calls share a server and one of them crashes it. Every innocent
-// neighbour is answered, more of them than the retry budget holds, and only the
-// guilty one is refused, after two servers in all. Its resends crash none.
+// One of twelve calls on a server crashes it. The other eleven, more than the
+// retry budget covers, must be answered. The request that crashes servers fails
+// after two crashes, and its resend is refused.
 Test(crashes, one_guilty_in_a_batch_costs_two_servers_and_no_neighbour) {
   Bench bench(Encoders(4, 12));
-  // One server is up at first, so that all twelve share it.
+  // Only one server is up at first, so all twelve run there.
   bench.List(Encoders(1, 12));
   std::vector<RequestId> innocent;
   innocent.reserve(11);
-  const RequestId guilty = bench.Submit(SubmissionOf("lookups", "guilty"));
+  const RequestId crashing = bench.Submit(SubmissionOf("lookups", "crashing"));
   for (int i = 0; i < 11; ++i) {
     innocent.push_back(
         bench.Submit(SubmissionOf("lookups", "i" + std::to_string(i))));
   }
   bench.List(Encoders(4, 12));
-  cr_assert_eq(RunToEnd(bench, {"guilty"}), 2);
+  cr_assert_eq(RunToEnd(bench, {"crashing"}), 2);
   for (const RequestId id : innocent) {
     cr_assert(!bench.FinishOf(id)->error.has_value());
   }
-  cr_assert(bench.FinishOf(guilty)->error == ErrorKind::kStageFailed);
-  const RequestId resend = bench.Submit(SubmissionOf("lookups", "guilty"));
+  cr_assert(bench.FinishOf(crashing)->error == ErrorKind::kStageFailed);
+  const RequestId resend = bench.Submit(SubmissionOf("lookups", "crashing"));
   cr_assert(bench.FinishOf(resend)->error == ErrorKind::kQuarantined);
   cr_assert_eq(bench.core.suspects.Quarantined(bench.now).size(), 1U);
 }
 
-// Two guilty requests share the batch. Each suspect runs on a server without
-// another suspect, so each second crash names one: three servers, both named.
+// Two requests of a batch crash servers. Each suspect is retried on a server
+// without another suspect, so each second crash identifies one of them: three
+// crashes in all, and both are quarantined.
 Test(crashes, two_guilty_in_a_batch_cost_three_servers) {
   Bench bench(Encoders(4, 6));
   bench.List(Encoders(1, 6));
@@ -107,31 +110,31 @@
   cr_assert_eq(bench.core.suspects.Quarantined(bench.now).size(), 2U);
 }
 
-// The caller resends while its first arrival still crashes servers. Twins of a
-// suspect wait for each other; once one is quarantined the other is refused
-// without a further crash.
+// The caller resends a request that is crashing servers. Suspects with the same
+// fingerprint must not run in parallel; once one is quarantined, the other is
+// refused without another crash.
 Test(crashes, twins_of_a_guilty_request_are_not_run_side_by_side) {
   Bench bench(Encoders(4, 4));
-  const RequestId first = bench.Submit(SubmissionOf("lookups", "guilty"));
+  const RequestId first = bench.Submit(SubmissionOf("lookups", "crashing"));
   bench.Write(bench.starts.at(0).attempt);
   bench.Crash(bench.starts.at(0).server->host.name);
-  const RequestId twin = bench.Submit(SubmissionOf("lookups", "guilty"));
+  const RequestId duplicate = bench.Submit(SubmissionOf("lookups", "crashing"));
   cr_assert_eq(bench.starts.size(), 2U);
   bench.Write(bench.starts.at(1).attempt);
   bench.Crash(bench.starts.at(1).server->host.name);
   cr_assert_eq(bench.starts.size(), 2U);
   cr_assert(bench.FinishOf(first)->error == ErrorKind::kStageFailed);
-  cr_assert(bench.FinishOf(twin)->error == ErrorKind::kQuarantined);
+  cr_assert(bench.FinishOf(duplicate)->error == ErrorKind::kQuarantined);
 }
 
-// A peer names the request while it waits here. It is refused at once and true:
-// it has not run.
+// A peer quarantines a request while it waits here. It must be refused as
+// quarantined, without having run.
 Test(crashes, quarantine_by_a_peer_refuses_a_waiting_request) {
   Bench bench(Encoders(1, 1));
   bench.Submit(SubmissionOf("lookups", "first"));
-  const Submission guilty = SubmissionOf("lookups", "guilty");
-  const RequestId id = bench.Submit(guilty);
-  bench.core.suspects.OnPeerQuarantine(bench.now, guilty.fingerprint,
+  const Submission crashing = SubmissionOf("lookups", "crashing");
+  const RequestId id = bench.Submit(crashing);
+  bench.core.suspects.OnPeerQuarantine(bench.now, crashing.fingerprint,
                                        seconds(60));
   bench.Write(bench.starts.at(0).attempt);
   bench.Answer(bench.starts.at(0).attempt, "1");
@@ -139,8 +142,9 @@
   cr_assert_eq(bench.starts.size(), 1U);
 }
 
-// The request passes its first stage each time and crashes the second. An
-// answered first stage must not clear it, or its resends crash without end.
+// The request passes its first stage and crashes servers in its second. The
+// answer of the first stage must not clear the suspicion, or its resends would
+// crash servers forever.
 Test(crashes, answered_first_stage_does_not_clear_a_suspect) {
   Bench bench({HostOf("e1", "encode"), HostOf("g1", "generate"),
                HostOf("g2", "generate"), HostOf("g3", "generate")});
@@ -150,34 +154,34 @@
   AddService(*catalogue, "letters", {StageOf("encode"), once});
   bench.coordinator().SetCatalogue(catalogue);
   for (int i = 0; i < 2; ++i) {
-    bench.Submit(SubmissionOf("letters", "guilty"));
+    bench.Submit(SubmissionOf("letters", "crashing"));
     bench.Write(bench.starts.back().attempt);
     bench.Answer(bench.starts.back().attempt, "1");
     bench.Write(bench.starts.back().attempt);
     bench.Crash(bench.starts.back().server->host.name);
   }
-  const RequestId third = bench.Submit(SubmissionOf("letters", "guilty"));
+  const RequestId third = bench.Submit(SubmissionOf("letters", "crashing"));
   cr_assert(bench.FinishOf(third)->error == ErrorKind::kQuarantined);
 }
 
-// A suspect waits for a server of another pool than the one where the last
-// suspect finished. It must go then, not at its deadline.
+// A suspect waits for a request with the same fingerprint to end. When that one
+// ends, the suspect must start at once, not at its deadline.
 Test(crashes, suspect_held_back_goes_when_its_twin_in_another_pool_is_done) {
   Bench bench({HostOf("e1", "encode"), HostOf("e2", "encode")});
   const RequestId first = bench.Submit(SubmissionOf("lookups", "x"));
   bench.Write(bench.starts.at(0).attempt);
   bench.Crash(bench.starts.at(0).server->host.name);
-  const RequestId twin = bench.Submit(SubmissionOf("lookups", "x"));
+  const RequestId duplicate = bench.Submit(SubmissionOf("lookups", "x"));
   bench.Write(bench.starts.at(1).attempt);
   bench.Answer(bench.starts.at(1).attempt, "1");
   cr_assert(!bench.FinishOf(first)->error.has_value());
   cr_assert_eq(bench.starts.size(), 3U);
   bench.Answer(bench.starts.at(2).attempt, "1");
-  cr_assert(!bench.FinishOf(twin)->error.has_value());
+  cr_assert(!bench.FinishOf(duplicate)->error.has_value());
 }
 
-// Twenty twins of a suspect wait at the front of the line. A newcomer behind
-// them has nothing to do with it and goes at once.
+// Twenty suspects with the same fingerprint wait at the front of the queue. An
+// unrelated request behind them must start at once.
 Test(crashes, held_suspects_do_not_stop_the_request_behind_them) {
   Bench bench(Encoders(2, 4));
   bench.Submit(SubmissionOf("lookups", "x"));
@@ -191,14 +195,14 @@
   cr_assert_eq(bench.starts.size(), 3U);
 }
 
-// An innocent suspect and a newcomer share a server when the newcomer crashes
-// it. That is no proof against the suspect: it runs again and is answered.
+// A suspect shares a server with a new request that crashes it. This crash must
+// not quarantine the suspect, which is retried and answered.
 Test(crashes, suspect_hit_by_another_ones_crash_is_not_quarantined) {
   Bench bench(Encoders(1, 2));
   const RequestId innocent = bench.Submit(SubmissionOf("lookups", "innocent"));
   bench.Write(bench.starts.at(0).attempt);
   bench.Crash(bench.starts.at(0).server->host.name);
-  bench.Submit(SubmissionOf("lookups", "guilty"));
+  bench.Submit(SubmissionOf("lookups", "crashing"));
   cr_assert_eq(bench.starts.size(), 3U);
   bench.Write(bench.starts.at(1).attempt);
   bench.Write(bench.starts.at(2).attempt);
@@ -212,9 +216,9 @@
   cr_assert(!bench.FinishOf(innocent)->error.has_value());
 }
 
-// Something between the ends cuts the request's connection, twice, while the
-// servers live on. The caller must get its answer: the request waits for proof,
-// none comes, and it runs again.
+// The connections of a request are reset twice, but no server has crashed. The
+// request waits for the crash to be confirmed; since it isn't, the request must
+// be retried and answered.
 Test(crashes, two_resets_without_a_crash_do_not_quarantine) {
   Bench bench(Encoders(4, 4));
   const RequestId id = bench.Submit(SubmissionOf("lookups", "innocent"));
@@ -231,8 +235,8 @@
   cr_assert(!bench.FinishOf(id)->error.has_value());
 }
 
-// One of two connections breaks and the other goes on: the server lives. The
-// broken one is no crash and leaves no suspicion behind.
+// One of two calls on a server is reset and the other is answered afterwards,
+// so the server has not crashed. The suspicion must be cleared.
 Test(crashes, neighbour_that_goes_on_clears_a_broken_connection) {
   Bench bench(Encoders(1, 4));
   const Submission cut = SubmissionOf("lookups", "cut");
@@ -247,12 +251,12 @@
   cr_assert(!bench.core.suspects.IsSuspect(bench.now, cut.fingerprint));
 }
 
-// A second crash that nobody has seen for sure yet: the request waits, a resend
-// is refused with Retry-After, and the refused connection of another request
-// proves the crash. Then both are told at once.
+// The second crash of a request is not confirmed yet: the request waits and a
+// resend is refused as kNoServer. Once the server is known to be down, the
+// request fails and further resends are refused as quarantined.
 Test(crashes, refused_connection_proves_a_crash) {
   Bench bench(Encoders(3, 4));
-  const RequestId id = bench.Submit(SubmissionOf("lookups", "guilty"));
+  const RequestId id = bench.Submit(SubmissionOf("lookups", "crashing"));
   for (std::size_t i = 0; i < 2; ++i) {
     const std::string server = bench.starts.at(i).server->host.name;
     bench.Write(bench.starts.at(i).attempt);
@@ -261,19 +265,19 @@
       bench.core.suspects.OnServerDown(bench.now, server);
     }
   }
-  const RequestId early = bench.Submit(SubmissionOf("lookups", "guilty"));
+  const RequestId early = bench.Submit(SubmissionOf("lookups", "crashing"));
   cr_assert(bench.FinishOf(early)->error == ErrorKind::kNoServer);
   bench.core.suspects.OnServerDown(bench.now,
                                    bench.starts.at(1).server->host.name);
   bench.Advance(milliseconds(200));
   cr_assert(bench.FinishOf(id)->error == ErrorKind::kStageFailed);
-  const RequestId late = bench.Submit(SubmissionOf("lookups", "guilty"));
+  const RequestId late = bench.Submit(SubmissionOf("lookups", "crashing"));
   cr_assert(bench.FinishOf(late)->error == ErrorKind::kQuarantined);
 }
 
-// A batch of six crashes a server of a pool of five, and all six are suspects.
-// They must not take every live server, one each: newcomers then run where no
-// crash is to be feared.
+// A batch of six crashes a server in a pool of five, which makes all six
+// suspects. They must not occupy every server, so that new requests run apart
+// from suspects.
 Test(crashes, suspects_leave_most_servers_to_the_others) {
   Bench bench(Encoders(5, 8));
   bench.List(Encoders(1, 8));
@@ -292,13 +296,14 @@
   cr_assert_eq(bench.starts.size(), 13U);
 }
 
-// Every server is busy when the suspect's turn comes. One of them is left alone
-// until its calls are answered; newcomers go to the other one or wait, and the
-// second crash hits nobody else and names the guilty one.
+// All servers are busy when a suspect reaches the front of the queue. One is
+// reserved until its calls are answered, while new requests use the other or
+// wait. The second crash then affects no other request and identifies the
+// cause.
 Test(crashes, suspect_without_idle_server_waits_for_one_to_drain) {
   Bench bench(Encoders(3, 2));
   bench.List(Encoders(1, 2));
-  const RequestId guilty = bench.Submit(SubmissionOf("lookups", "guilty"));
+  const RequestId crashing = bench.Submit(SubmissionOf("lookups", "crashing"));
   bench.Write(bench.starts.at(0).attempt);
   bench.List({HostOf("e2", "encode", 2), HostOf("e3", "encode", 2)});
   bench.Submit(SubmissionOf("lookups", "a"));
@@ -310,21 +315,21 @@
   bench.Submit(SubmissionOf("lookups", "d"));
   cr_assert_eq(bench.starts.size(), 4U);
   const StartAttempt shared = bench.starts.at(3);
-  cr_assert_neq(shared.request, guilty);
+  cr_assert_neq(shared.request, crashing);
   const std::size_t drained = bench.starts.at(1).server == shared.server;
   bench.Answer(bench.starts.at(1 + drained).attempt, "1");
   cr_assert_eq(bench.starts.size(), 5U);
-  cr_assert_eq(bench.starts.at(4).request, guilty);
+  cr_assert_eq(bench.starts.at(4).request, crashing);
   cr_assert_eq(bench.starts.at(4).server, bench.starts.at(1 + drained).server);
   bench.Write(bench.starts.at(4).attempt);
   bench.Crash(bench.starts.at(4).server->host.name);
-  cr_assert(bench.FinishOf(guilty)->error == ErrorKind::kStageFailed);
+  cr_assert(bench.FinishOf(crashing)->error == ErrorKind::kStageFailed);
   cr_assert_eq(bench.core.suspects.Quarantined(bench.now).size(), 1U);
 }
 
-// While the server drains, more requests of a lighter organisation come than
-// are asked at a time, and all rank before the suspect. They are kept off that
-// server; were the suspect not asked first, it would stand idle.
+// While a server is reserved for a suspect, more requests arrive that rank
+// before it than one dispatch checks. The suspect must be checked first, or the
+// reserved server would stay idle.
 Test(crashes, drained_server_goes_to_the_suspect_before_a_long_line) {
   Bench bench(Encoders(1, 1));
   const RequestId suspect = bench.Submit(SubmissionOf("lookups", "suspect"));
@@ -346,11 +351,12 @@
   cr_assert_eq(bench.starts.at(3).request, suspect);
 }
 
-// The server that it waits for doesn't drain. Half its time goes by; then the
-// suspect runs beside the others, since it may well be innocent.
+// The server reserved for a suspect doesn't become idle. After half of its time
+// the suspect must run beside other calls, as must the request that avoided
+// it.
 Test(crashes, suspect_runs_beside_others_when_its_time_presses) {
   Bench bench(Encoders(1, 1));
-  AddSingle(bench, "patient", StageOf("encode"));
+  AddSingleStageService(bench, "patient", StageOf("encode"));
   const RequestId suspect = bench.Submit(SubmissionOf("lookups", "suspect"));
   bench.Write(bench.starts.at(0).attempt);
   bench.List({HostOf("e2", "encode", 3)});
@@ -367,13 +373,13 @@
   cr_assert(bench.coordinator().Find(newcomer)->attempts.size() == 1);
 }
 
-// The only other server works on an order, which must not be made twice. A
-// crash would leave it unknown, so a suspect never runs beside it.
+// The only other server runs a call that must not be repeated. A crash would
+// leave its outcome unknown, so a suspect must never run beside it.
 Test(crashes, suspect_never_runs_beside_a_call_that_must_not_repeat) {
   Bench bench({HostOf("e1", "encode", 2)});
   StageSpec order = StageOf("encode");
   order.repeatable = false;
-  AddSingle(bench, "plaques", order);
+  AddSingleStageService(bench, "plaques", order);
   const RequestId suspect = bench.Submit(SubmissionOf("lookups", "suspect"));
   bench.Write(bench.starts.at(0).attempt);
   bench.List({HostOf("e2", "encode", 2)});
@@ -388,14 +394,15 @@
   }
 }
 
-// A newcomer runs beside a suspect, for want of another server, and is cut off
-// by its crash. It has one attempt; that one was the other's, so it runs again.
+// A request with a single attempt runs beside a suspect, since there is no
+// other server, and the server crashes. The crash must not count as its
+// attempt.
 Test(crashes, crash_beside_a_suspect_uses_up_no_attempt) {
   Bench bench(Encoders(1, 2));
   StageSpec once = StageOf("encode");
   once.max_attempts = 1;
-  AddSingle(bench, "single", once);
-  bench.Submit(SubmissionOf("lookups", "guilty"));
+  AddSingleStageService(bench, "single", once);
+  bench.Submit(SubmissionOf("lookups", "crashing"));
   bench.Write(bench.starts.at(0).attempt);
   bench.Crash("e1");
   const RequestId newcomer = bench.Submit(SubmissionOf("single", "newcomer"));
@@ -414,21 +421,20 @@
   cr_assert(!bench.FinishOf(newcomer)->error.has_value());
 }
 
-// Regression: nine families send the same letter, and one request that crashes
-// servers runs beside some of them. Equal letters in one batch were counted
-// once each, so a single crash quarantined the letter and all nine were
-// refused.
+// Regression: nine equal requests share a server with one that crashes it. Each
+// of the nine was counted, so a single crash quarantined their fingerprint and
+// all were refused.
 Test(crashes, equal_innocent_requests_in_one_batch_count_once) {
   Bench bench(Encoders(4, 12));
   bench.List(Encoders(1, 12));
   std::vector<RequestId> letters;
   letters.reserve(9);
-  bench.Submit(SubmissionOf("lookups", "guilty"));
+  bench.Submit(SubmissionOf("lookups", "crashing"));
   for (int i = 0; i < 9; ++i) {
     letters.push_back(bench.Submit(SubmissionOf("lookups", "letter")));
   }
   bench.List(Encoders(4, 12));
-  cr_assert_eq(RunToEnd(bench, {"guilty"}), 2);
+  cr_assert_eq(RunToEnd(bench, {"crashing"}), 2);
   for (const RequestId id : letters) {
     cr_assert(!bench.FinishOf(id)->error.has_value());
   }
--- a/packages/decision/tests/decision_fixture.h
+++ b/packages/decision/tests/decision_fixture.h
@@ -15,7 +15,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// @brief Claim rows as JSON; the schema package has the real codec.
+/// @brief Claim codec for tests that writes JSON.
 class JsonClaimCodec : public ClaimCodec {
  public:
   std::string Encode(const Claim& claim) const override {
@@ -48,7 +48,8 @@
   }
 };
 
-/// @brief The table service: conditional transactions over rows with versions.
+/// @brief In-memory table service with versioned rows and conditional
+/// transactions.
 class FakeTable {
  public:
   TransactResult Transact(const TableTransaction& transaction) {
@@ -91,7 +92,7 @@
   std::uint64_t version_ = 0;
 };
 
-/// @brief One profile `name` served under its own name.
+/// @brief Adds a profile and a service of the same name to a catalogue.
 inline void AddService(Catalogue& catalogue,
                        const std::string& name,
                        std::vector<StageSpec> stages,
@@ -112,9 +113,10 @@
   return stage;
 }
 
-/// @brief `letters`: encode, then generate, streamed. `orders`: one call that
-/// must not repeat. `lookups`: one repeatable call; `thrifty`: the
-/// same, cost first.
+/// @brief Returns a catalogue with four services. `letters` has the stages
+/// encode and generate, the latter streamed. `orders` has one stage that must
+/// not be repeated. `lookups` has one repeatable stage, and so has `thrifty`,
+/// which minimises cost.
 inline CatalogueRef TestCatalogue() {
   auto catalogue = std::make_shared<Catalogue>();
   catalogue->revision = 1;
@@ -142,7 +144,7 @@
   return host;
 }
 
-/// @brief The decisions of one daemon incarnation.
+/// @brief Coordinator of one daemon incarnation with its dependencies.
 struct DecisionCore {
   DecisionCore(const std::string& name,
                std::uint64_t incarnation,
@@ -163,7 +165,7 @@
   Coordinator coordinator;
 };
 
-/// @brief A request whose fingerprint and digest follow from its text.
+/// @brief Returns a request whose fingerprint and digest derive from `text`.
 inline Submission SubmissionOf(const std::string& service,
                                const std::string& text,
                                const std::string& key = {}) {
@@ -178,7 +180,8 @@
   return submission;
 }
 
-/// @brief A core under test, with its actions sorted and its store at hand.
+/// @brief Test harness around a DecisionCore. Collects its actions by type and
+/// provides its table service and clock.
 struct Bench {
   explicit Bench(const std::vector<HostRecord>& hosts,
                  const std::string& name = "daemon-1")
@@ -217,8 +220,8 @@
     Take();
   }
 
-  /// @brief Lets the ledger query the store, and the store answer, until a
-  /// claim that meets others has come to its end.
+  /// @brief Exchanges operations between the ledger and the table service for
+  /// as many rounds as a claim with conflicts needs to complete.
   void Settle() {
     constexpr int kRounds = 8;
     for (int round = 0; round < kRounds; ++round) {
@@ -237,7 +240,7 @@
 
   void Write(AttemptId attempt) { core.coordinator.OnWritten(attempt); }
 
-  /// @brief The call is written and answered whole.
+  /// @brief Delivers a complete answer with status 200.
   void Answer(AttemptId attempt, const std::string& body) {
     AttemptAnswer answer;
     answer.attempt = attempt;
@@ -258,8 +261,8 @@
     Take();
   }
 
-  /// @brief Every call in flight at the server breaks, and the next list of
-  /// hosts shows that it was restarted.
+  /// @brief Resets every call in flight at the server and increments its
+  /// incarnation in the list of hosts.
   void Crash(const std::string& server) {
     for (const AttemptId attempt : RunningAt(server)) {
       Fail(attempt, AttemptFailure::kReset);
--- a/packages/decision/tests/fair_queue_test.cc
+++ b/packages/decision/tests/fair_queue_test.cc
@@ -32,8 +32,8 @@
   }
 };
 
-/// Pops one and compares it with a full search: no organisation has a lower
-/// rank, no subscriber of its own has, and none of its requests came before.
+/// Pops a waiter and checks it against a linear search: its organisation and
+/// subscriber must have the lowest rank, and it must be the subscriber's first.
 void PopAndCompareWithSearch(QueueFixture& fixture,
                              std::vector<FairQueue::Waiter>& waiting) {
   const UsageLedger before = fixture.ledger;
@@ -91,8 +91,8 @@
   cr_assert(large >= 29 && large <= 31, "%d", large);
 }
 
-// Another pool's queue charges the same ledger while an organisation waits
-// here, so its place is out of date when it comes first.
+// The queue of another pool charges the same ledger while an organisation waits
+// here, so its position is outdated when it comes first.
 Test(fair_queue, use_charged_elsewhere_counts_at_once) {
   QueueFixture fixture;
   fixture.Push("zeroth", "s");
@@ -103,8 +103,8 @@
   cr_assert_eq(fixture.Pop(), "second/s");
 }
 
-// A peer had told of heavy use and is gone. The organisation's rank fell while
-// it waited; it must not stay behind for longer than a second.
+// The peer that had reported heavy usage is dropped, so the organisation's rank
+// falls while it waits. The new rank must take effect within a second.
 Test(fair_queue, rank_that_fell_counts_after_a_second) {
   QueueFixture fixture;
   fixture.ledger.Charge(kStart, "other", "s", 1);
--- a/packages/decision/tests/shedding_test.cc
+++ b/packages/decision/tests/shedding_test.cc
@@ -21,7 +21,8 @@
   }
 };
 
-/// One server with one slot that answers every 100 ms, and a 1 s deadline.
+/// Test harness with one server of one slot, 100 ms per call and deadlines of
+/// 1 s.
 struct Bench {
   explicit Bench(bool refuse_early)
       : coordinator(OptionsOf(refuse_early), servers, usage, suspects, claims) {
@@ -57,7 +58,7 @@
     TakeActions();
   }
 
-  /// Lets 100 ms pass and answers the call that ran.
+  /// Advances time by 100 ms and answers the running call.
   void Tick() {
     now += milliseconds(100);
     if (running.has_value()) {
@@ -97,11 +98,12 @@
   std::uint64_t sent = 0;
   std::optional<AttemptId> running;
   std::map<std::string, int> answered;
-  std::map<std::string, int> shed;  ///< told at once that it is overloaded
-  std::map<std::string, int> late;  ///< told at or near the deadline
+  std::map<std::string, int> shed;  ///< refused as overloaded
+  std::map<std::string, int> late;  ///< failed at or near the deadline
 };
 
-/// The heavy one sends five requests a tick for 4 s, the light one one in four.
+/// Submits requests for 4 s: five per tick by "heavy", one every fourth tick by
+/// "light".
 void Overload(Bench& bench) {
   for (int tick = 0; tick < 40; ++tick) {
     for (int i = 0; i < 5; ++i) {
@@ -116,9 +118,9 @@
 
 }  // namespace
 
-// A heavy organisation sends five times what the pool can do. The line grows
-// until its last would go after their deadline: they are told at once, and
-// only they, while a light organisation that comes later is answered.
+// A heavy organisation sends five times the capacity of the pool. Requests that
+// would miss their deadline in the queue must be refused early, but only those
+// of the heavy organisation; the requests of a light one must be answered.
 Test(shedding, backlog_of_heavy_organisation_is_its_own) {
   Bench bench(true);
   Overload(bench);
