--- a/packages/decision/include/gentianroute/decision/action.h
+++ b/packages/decision/include/gentianroute/decision/action.h
@@ -41,8 +41,8 @@
   std::string trace_parent;
   Duration remaining{0};            ///< time left to the request's deadline
   std::uint64_t resume_offset = 0;  ///< number of tokens already received
-  /// True for calls that must not be repeated: a reused connection may turn out
-  /// to be closed after the call was written.
+  /// Use only a connection known to be alive; set for calls that must not be
+  /// repeated, since a reused connection may break after the call was written.
   bool fresh_connection = false;
 
   const StageSpec& stage() const { return profile->stages[stage_index]; }
--- a/packages/decision/include/gentianroute/decision/attempt.h
+++ b/packages/decision/include/gentianroute/decision/attempt.h
@@ -56,10 +56,10 @@
   TimePoint suspected_crash_at{};
   /// At that crash a suspect with another fingerprint ran on the server.
   bool crashed_beside_suspect = false;
-  std::uint64_t billed_bytes = 0;  ///< bytes sent to another region
+  std::uint64_t billed_bytes = 0;  ///< request bytes; 0 within the region
 };
 
-/// @brief The calls in flight at one server.
+/// @brief The calls in flight at one server; its crash ends all of them.
 using AttemptList =
     boost::intrusive::list<Attempt,
                            boost::intrusive::constant_time_size<false>>;
--- a/packages/decision/tests/billed_bytes_test.cc
+++ b/packages/decision/tests/billed_bytes_test.cc
@@ -24,7 +24,7 @@
   answer.body = "1";
   answer.received = bytes;
   bench.coordinator().OnAnswer(bench.now, std::move(answer));
-  bench.Take();
+  bench.TakeActions();
 }
 
 }  // namespace
--- a/packages/decision/tests/claims_test.cc
+++ b/packages/decision/tests/claims_test.cc
@@ -80,7 +80,7 @@
   cr_assert_eq(second.queries.size(), 1U);
   const std::string token = second.queries.at(0).claim.token;
   first.coordinator().Join(first.now, token);
-  first.Take();
+  first.TakeActions();
   cr_assert(first.joins.at(0).outcome.state == JoinState::kAbandoned);
   second.coordinator().OnClaimHolderAnswered(second.now, resend, token,
                                              first.joins.at(0).outcome);
@@ -99,7 +99,7 @@
   const TransactResult written = bench.table.Transact(write.transaction);
   const auto holder = bench.core.codec.Decode(bench.table.Read(kRow).value);
   bench.coordinator().Join(bench.now, holder->token);
-  bench.Take();
+  bench.TakeActions();
   cr_assert(bench.joins.empty());
   bench.core.claims.OnTransacted(bench.now, write.id, written);
   bench.Advance(Duration{0});
@@ -175,8 +175,8 @@
   cr_assert_eq(bench.starts.size(), 1U);
 }
 
-// An order was written and never answered. A resend must be told that the
-// outcome is unknown, and must not run the order.
+// An order was written and never answered. A resend, also to a restarted
+// daemon, must be told that the outcome is unknown, and must not run the order.
 Test(claims, resend_after_an_unanswered_order_is_told_the_outcome_is_unknown) {
   Bench bench(Orders());
   const RequestId first = bench.Submit(Order());
--- a/packages/decision/tests/coordinator_test.cc
+++ b/packages/decision/tests/coordinator_test.cc
@@ -24,7 +24,7 @@
   crossed.status = 200;
   crossed.body = "\"another family's letter\"";
   bench.coordinator().OnAnswer(bench.now, crossed);
-  bench.Take();
+  bench.TakeActions();
   cr_assert(bench.FinishOf(id) == nullptr);
   cr_assert(bench.cancels.at(0).close_idle_connections);
   const AttemptId second = bench.starts.at(1).attempt;
@@ -119,7 +119,7 @@
   const RequestId id = bench.Submit(SubmissionOf("orders", "plaque"));
   bench.Write(bench.starts.at(0).attempt);
   bench.coordinator().OnCallerGone(bench.now, id);
-  bench.Take();
+  bench.TakeActions();
   cr_assert(bench.cancels.empty());
   bench.Answer(bench.starts.at(0).attempt, "1");
   cr_assert(!bench.FinishOf(id)->error.has_value());
--- a/packages/decision/tests/decision_fixture.h
+++ b/packages/decision/tests/decision_fixture.h
@@ -191,11 +191,11 @@
 
   RequestId Submit(Submission submission) {
     const RequestId id = core.coordinator.Submit(now, 0, std::move(submission));
-    Take();
+    TakeActions();
     return id;
   }
 
-  void Take() {
+  void TakeActions() {
     for (Action& action : core.coordinator.TakeActions()) {
       if (auto* start = std::get_if<StartAttempt>(&action)) {
         starts.push_back(std::move(*start));
@@ -217,7 +217,7 @@
     now += by;
     core.coordinator.Advance(now);
     core.coordinator.ProcessClaims(now);
-    Take();
+    TakeActions();
   }
 
   /// @brief Exchanges operations between the ledger and the table service for
@@ -248,17 +248,17 @@
     answer.status = 200;
     answer.body = body;
     core.coordinator.OnAnswer(now, answer);
-    Take();
+    TakeActions();
   }
 
   void Chunk(AttemptId attempt, std::uint64_t offset, const std::string& text) {
     core.coordinator.OnChunk(now, {attempt, attempt, offset, text});
-    Take();
+    TakeActions();
   }
 
   void Fail(AttemptId attempt, AttemptFailure failure) {
     core.coordinator.OnFailure(now, attempt, failure, "test");
-    Take();
+    TakeActions();
   }
 
   /// @brief Resets every call in flight at the server and increments its
