--- a/packages/decision/src/claim_ledger.cc
+++ b/packages/decision/src/claim_ledger.cc
@@ -70,8 +70,8 @@
     const bool expired = entry->second.phase == Phase::kSettling &&
                          !entry->second.in_flight &&
                          now >= entry->second.settle_deadline;
-    // The row stays claimed, so a resend is told that the outcome is unknown,
-    // which holds for all but this daemon.
+    // The row of an expired entry stays claimed, so a resend is told that the
+    // outcome is unknown. Only this daemon knows it.
     entry = expired ? entries_.erase(entry) : std::next(entry);
   }
   Flush(now);
@@ -268,7 +268,7 @@
     return;
   }
   // The lost write may still take effect after this read. Writing again could
-  // leave two tokens for one request, and dispatching now would run without a
+  // let two tokens compete for the key, and dispatching now would run without a
   // claim, so the token is abandoned and the caller is told that nothing ran.
   Conclude(entry, ClaimOutcome::kUnavailable);
 }
--- a/packages/decision/src/coordinator_dispatch.cc
+++ b/packages/decision/src/coordinator_dispatch.cc
@@ -334,10 +334,11 @@
 }
 
 void Coordinator::OnCrash(TimePoint now, const Server& server) {
-  // Compared by name: if the process restarted before the list of hosts showed
-  // it, calls are recorded under its previous incarnation too, and a crash ends
-  // all of them. Requests with the same fingerprint count once; otherwise one
-  // crash of a batch with three equal requests would count as three crashes.
+  // Servers are compared by name: if the process restarted before the list of
+  // hosts showed it, calls are recorded under its previous incarnation too, and
+  // a crash ends all of them. Requests with the same fingerprint count once;
+  // otherwise one crash of a batch with three equal requests would count as
+  // three crashes.
   std::set<Fingerprint> in_flight;
   std::set<Fingerprint> suspects;
   for (auto& [record, attempts] : attempts_by_server_) {
--- a/packages/decision/tests/coordinator_test.cc
+++ b/packages/decision/tests/coordinator_test.cc
@@ -7,8 +7,7 @@
 using namespace gentianroute;           // NOLINT(google-build-using-namespace)
 using namespace gentianroute::testing;  // NOLINT(google-build-using-namespace)
 
-// --- Results reach only their own request, complete
-// ------------------------------
+// Results reach only their own request, complete.
 
 // The connection first delivers the answer of another request. That answer must
 // fail the attempt and close the connection, and the caller must get the answer
@@ -109,8 +108,7 @@
   cr_assert(bench.FinishOf(id)->body == "\"Dear Aino\"");
 }
 
-// --- "Not run" is true
-// --------------------------------------------------------
+// "Not run" is true.
 
 // The caller of an order without a key disconnects while the order runs. The
 // call must not be cancelled, since its outcome would be unknown.
@@ -165,8 +163,7 @@
   cr_assert_eq(bench.starts.size(), 2U);
 }
 
-// --- Regressions found by random_requests
-// -----------------------------------------------
+// Regressions found by random_requests.
 
 // random_requests --seed 1: a paused daemon resumes with a hedge timer and a
 // deadline timer overdue. The hedge timer runs first and must not start a call
