--- a/benchmarks/load_callers.cc
+++ b/benchmarks/load_callers.cc
@@ -93,7 +93,7 @@
     return;
   }
   const bool refused = finish.error.has_value() &&
-                       AnswerFor(*finish.error).work == WorkKnown::kNotRun;
+                       AnswerFor(*finish.error).work == ExecutionState::kNotRun;
   const auto second =
       static_cast<std::size_t>(Seconds(sent.first - TimePoint{}));
   const std::string subscriber =
--- a/packages/base/include/gentianroute/base/error_kind.h
+++ b/packages/base/include/gentianroute/base/error_kind.h
@@ -11,7 +11,7 @@
 namespace gentianroute {
 
 /// @brief What is known of a request's work when it ends in an error.
-enum class WorkKnown : std::uint8_t {
+enum class ExecutionState : std::uint8_t {
   kNotRun,   ///< no byte of any stage call was written; safe to send again
   kRun,      ///< stages ran, but none with an effect that must not repeat
   kUnknown,  ///< an effect may have taken place; look before sending again
@@ -55,7 +55,7 @@
   ErrorKind kind;
   std::string_view name;  ///< `kind` of the problem+json body
   int http_status;
-  WorkKnown work;
+  ExecutionState work;
   Duration retry_after;      ///< zero: no Retry-After header
   std::string_view title;    ///< one sentence for a person
   std::string_view example;  ///< an example of `detail`
@@ -74,7 +74,7 @@
 
 /// @brief The word that stands in problem+json and logs.
 /// @return `not_run`, `run` or `unknown`
-std::string_view WorkKnownName(WorkKnown work);
+std::string_view ExecutionStateName(ExecutionState work);
 
 }  // namespace gentianroute
 
--- a/packages/base/include/gentianroute/base/number.h
+++ b/packages/base/include/gentianroute/base/number.h
@@ -11,8 +11,8 @@
 /// @return 0 if it begins with none, or with one that does not fit
 /// @complexity linear in the digits
 ///
-/// @example NumberOf("17") == 17; NumberOf("") == 0
-inline std::uint64_t NumberOf(std::string_view text) {
+/// @example ParseLeadingNumber("17") == 17; ParseLeadingNumber("") == 0
+inline std::uint64_t ParseLeadingNumber(std::string_view text) {
   std::uint64_t number = 0;
   std::from_chars(text.data(), text.data() + text.size(), number);
   return number;
--- a/packages/base/src/problem.cc
+++ b/packages/base/src/problem.cc
@@ -16,7 +16,7 @@
       {"detail", detail},
       {"kind", answer.name},
       {"number", static_cast<int>(answer.kind)},
-      {"work", WorkKnownName(answer.work)},
+      {"work", ExecutionStateName(answer.work)},
   };
   if (!request_id.empty()) {
     body["request_id"] = request_id;
--- a/packages/base/tests/error_kind_test.cc
+++ b/packages/base/tests/error_kind_test.cc
@@ -6,7 +6,7 @@
 using gentianroute::AnswerFor;
 using gentianroute::ErrorKind;
 using gentianroute::ErrorKindFromNumber;
-using gentianroute::WorkKnown;
+using gentianroute::ExecutionState;
 
 Test(error_kind, number_of_every_kind_round_trips) {
   for (const auto& row : AllErrorAnswers()) {
@@ -27,7 +27,7 @@
     if (row.http_status != 503 || row.kind == ErrorKind::kPlatformUnreachable) {
       continue;
     }
-    cr_assert(row.work == WorkKnown::kNotRun);
+    cr_assert(row.work == ExecutionState::kNotRun);
     cr_assert(row.retry_after.count() > 0);
   }
 }
--- a/packages/decision/src/config_apply.cc
+++ b/packages/decision/src/config_apply.cc
@@ -134,12 +134,12 @@
     }
     if (row.key == Row(kConfigHeadKey)) {
       head_version_ = row.version;
-      head_revision_ = NumberOf(row.value);
+      head_revision_ = ParseLeadingNumber(row.value);
     } else if (row.key == Row(kConfigSnapshotKey)) {
-      snapshot_revision_ = NumberOf(row.value);
+      snapshot_revision_ = ParseLeadingNumber(row.value);
     } else if (row.key == own) {
       own_found_ = true;
-      change_.revision = NumberOf(row.value);
+      change_.revision = ParseLeadingNumber(row.value);
     } else if (auto revision = codec_.Decode(row.value)) {
       revisions.push_back(std::move(*revision));
     }
--- a/packages/decision/src/config_snapshotter.cc
+++ b/packages/decision/src/config_snapshotter.cc
@@ -61,16 +61,16 @@
     return;
   }
   const TableRow named = Find(result, Row(kConfigSnapshotKey));
-  if (NumberOf(named.value) < revision_) {
+  if (ParseLeadingNumber(named.value) < revision_) {
     NameSnapshot(named.version);
     return;
   }
   const TableRow floor = Find(result, Row(kConfigFloorKey));
-  if (revision_ <= retention_.kept_rows + NumberOf(floor.value)) {
+  if (revision_ <= retention_.kept_rows + ParseLeadingNumber(floor.value)) {
     return;
   }
-  if (NumberOf(floor.value) != floor_) {
-    floor_ = NumberOf(floor.value);
+  if (ParseLeadingNumber(floor.value) != floor_) {
+    floor_ = ParseLeadingNumber(floor.value);
     Read();
     return;
   }
--- a/packages/decision/src/coordinator.cc
+++ b/packages/decision/src/coordinator.cc
@@ -213,9 +213,10 @@
   }
   if (error.has_value()) {
     // A refusal that says "not run" must be true: no server saw any stage.
-    const WorkKnown work = AnswerFor(*error).work;
-    GR_INVARIANT(work != WorkKnown::kNotRun || !request.MayHaveRun());
-    GR_INVARIANT(work == WorkKnown::kUnknown || !request.EffectMayHaveRun());
+    const ExecutionState work = AnswerFor(*error).work;
+    GR_INVARIANT(work != ExecutionState::kNotRun || !request.MayHaveRun());
+    GR_INVARIANT(work == ExecutionState::kUnknown ||
+                 !request.EffectMayHaveRun());
   }
   SettleClaim(now, request, error, body);
 
--- a/packages/entry/src/backend_calls.cc
+++ b/packages/entry/src/backend_calls.cc
@@ -19,12 +19,13 @@
                        const HttpHeaders& headers) {
   AttemptAnswer answer;
   answer.attempt = attempt;
-  answer.echoed = AttemptId{NumberOf(FindHeader(headers, "x-attempt-id"))};
+  answer.echoed =
+      AttemptId{ParseLeadingNumber(FindHeader(headers, "x-attempt-id"))};
   answer.status = status;
-  answer.units = NumberOf(FindHeader(headers, "x-units"));
+  answer.units = ParseLeadingNumber(FindHeader(headers, "x-units"));
   const std::string_view load = FindHeader(headers, "x-load");
   answer.has_load = !load.empty();
-  answer.load = static_cast<std::uint32_t>(NumberOf(load));
+  answer.load = static_cast<std::uint32_t>(ParseLeadingNumber(load));
   answer.not_run = FindHeader(headers, "x-not-run") == "1";
   answer.leaving = FindHeader(headers, "x-leaving") == "1";
   return answer;
--- a/packages/gateway/src/request_flow.cc
+++ b/packages/gateway/src/request_flow.cc
@@ -222,7 +222,7 @@
                          std::string_view detail,
                          std::optional<Duration> retry_after) {
   const ErrorAnswer answer = AnswerFor(kind);
-  const bool says_not_run = answer.work == WorkKnown::kNotRun;
+  const bool says_not_run = answer.work == ExecutionState::kNotRun;
   // An answer in the middle of a stream is no answer, and "not run" has to be
   // true: both come up when a broken run can't be made good.
   if (answer_begun_ || (says_not_run && may_have_run_)) {
--- a/packages/loop/src/relay_client.cc
+++ b/packages/loop/src/relay_client.cc
@@ -36,7 +36,7 @@
   }
   const std::string_view value =
       std::string_view(*keep_alive).substr(at + kParameter.size());
-  return std::chrono::seconds(NumberOf(value)) - kIdleMargin;
+  return std::chrono::seconds(ParseLeadingNumber(value)) - kIdleMargin;
 }
 
 }  // namespace
--- a/packages/observe/src/request_metrics.cc
+++ b/packages/observe/src/request_metrics.cc
@@ -225,7 +225,7 @@
       const ErrorAnswer answer = AnswerFor(kind);
       Labels list = LabelList(labels);
       list.push_back({"kind", answer.name});
-      list.push_back({"work", WorkKnownName(answer.work)});
+      list.push_back({"work", ExecutionStateName(answer.work)});
       writer.Sample(kErrors, list, count);
     }
   }
--- a/packages/schema/src/reference.cc
+++ b/packages/schema/src/reference.cc
@@ -120,7 +120,7 @@
     output += "| " + std::to_string(static_cast<int>(answer.kind)) + " | `" +
               std::string(answer.name) + "` | " +
               std::to_string(answer.http_status) + " | `" +
-              std::string(WorkKnownName(answer.work)) + "` | " +
+              std::string(ExecutionStateName(answer.work)) + "` | " +
               (seconds == 0 ? "" : std::to_string(seconds) + " s") + " | " +
               std::string(answer.title) + " | " + std::string(answer.example) +
               " |\n";
--- a/standins/backend.cc
+++ b/standins/backend.cc
@@ -175,7 +175,7 @@
 
 HttpHeaders Backend::AnswerHeaders(const HttpRequest& request) const {
   const std::uint64_t attempt =
-      NumberOf(FindHeader(request.headers, "x-attempt-id"));
+      ParseLeadingNumber(FindHeader(request.headers, "x-attempt-id"));
   const std::uint32_t load =
       options_.load_lag_ms > 0 ? reported_load_ : in_flight_;
   return {{"content-type", "application/json"},
@@ -220,9 +220,11 @@
   ++in_flight_;
   auto stream = std::make_shared<Stream>();
   stream->responder = responder;
-  stream->attempt = NumberOf(FindHeader(request.headers, "x-attempt-id"));
+  stream->attempt =
+      ParseLeadingNumber(FindHeader(request.headers, "x-attempt-id"));
   stream->attempt += faults_.crossed ? 1 : 0;
-  stream->offset = NumberOf(FindHeader(request.headers, "x-resume-offset"));
+  stream->offset =
+      ParseLeadingNumber(FindHeader(request.headers, "x-resume-offset"));
   responder->OnGone([stream] { stream->gone = true; });
   HttpHeaders headers = AnswerHeaders(request);
   headers.front().value = "text/event-stream";
@@ -252,7 +254,9 @@
   constexpr std::string_view kAfter = "after=";
   const std::string_view query = request.query;
   const std::uint64_t after =
-      query.starts_with(kAfter) ? NumberOf(query.substr(kAfter.size())) : 0;
+      query.starts_with(kAfter)
+          ? ParseLeadingNumber(query.substr(kAfter.size()))
+          : 0;
   const json body = {{"incarnation", incarnation_},
                      {"events", cache_.EventsAfter(after)}};
   responder.Send({200, {{"content-type", "application/json"}}, body.dump()});
--- a/tests/random/world.cc
+++ b/tests/random/world.cc
@@ -284,16 +284,16 @@
 }
 
 void World::CheckError(Arrival& arrival, const FinishRequest& finish) {
-  const WorkKnown work = AnswerFor(*finish.error).work;
+  const ExecutionState work = AnswerFor(*finish.error).work;
   arrival.failed_as = work;
-  Expect(work != WorkKnown::kNotRun || arrival.runs == 0,
+  Expect(work != ExecutionState::kNotRun || arrival.runs == 0,
          "a refusal says not run, and it ran", arrival);
-  Expect(work == WorkKnown::kUnknown || arrival.effects == 0,
+  Expect(work == ExecutionState::kUnknown || arrival.effects == 0,
          "an effect took place and is not said to be unknown", arrival);
   report_.innocent_quarantined +=
       finish.error == ErrorKind::kQuarantined && !arrival.IsPoison() ? 1 : 0;
-  report_.not_run += work == WorkKnown::kNotRun ? 1 : 0;
-  report_.unknown += work == WorkKnown::kUnknown ? 1 : 0;
+  report_.not_run += work == ExecutionState::kNotRun ? 1 : 0;
+  report_.unknown += work == ExecutionState::kUnknown ? 1 : 0;
 }
 
 void World::Do(Daemon& daemon, const AskClaimer& ask) {
@@ -352,7 +352,7 @@
   Arrival& arrival = arrivals_.at({call.from, call.request});
   Expect(call.marker == arrival.body_marker, "a call crossed", arrival);
   ++arrival.runs;
-  Expect(arrival.failed_as != WorkKnown::kNotRun,
+  Expect(arrival.failed_as != ExecutionState::kNotRun,
          "it ran after a refusal that says not run", arrival);
   if (call.stage != "order") {
     return;
@@ -360,7 +360,7 @@
   ++report_.effects;
   Expect(++arrival.effects == 1, "an effect ran twice", arrival);
   Expect(!arrival.failed_as.has_value() ||
-             arrival.failed_as == WorkKnown::kUnknown,
+             arrival.failed_as == ExecutionState::kUnknown,
          "an effect after an error that excludes it", arrival);
   Expect(arrival.key.empty() || ++effects_[arrival.key] == 1,
          "an effect ran twice for one key", arrival);
--- a/tests/random/world.h
+++ b/tests/random/world.h
@@ -65,7 +65,7 @@
     std::uint64_t effects = 0;
     std::string streamed;
     std::uint64_t stream_offset = 0;
-    std::optional<WorkKnown> failed_as;
+    std::optional<ExecutionState> failed_as;
     bool finished = false;
 
     bool IsPoison() const { return marker.starts_with("poison"); }
