--- a/packages/decision/include/gentianroute/decision/config.h
+++ b/packages/decision/include/gentianroute/decision/config.h
@@ -60,9 +60,9 @@
   virtual std::optional<ConfigRevision> Decode(std::string_view text) const = 0;
   /// @brief Adds a document to a catalogue.
   /// @return false if the body is not valid; the catalogue is unchanged then
-  virtual bool AddTo(Catalogue& catalogue,
-                     const DocumentName& name,
-                     const Document& document) const = 0;
+  virtual bool AddDocument(Catalogue& catalogue,
+                           const DocumentName& name,
+                           const Document& document) const = 0;
   virtual std::string EncodeSnapshot(const ConfigSnapshot& snapshot) const = 0;
   virtual std::optional<ConfigSnapshot> DecodeSnapshot(
       std::string_view text) const = 0;
--- a/packages/decision/include/gentianroute/decision/config_apply.h
+++ b/packages/decision/include/gentianroute/decision/config_apply.h
@@ -68,13 +68,13 @@
  private:
   void ReadLog();
   void CatchUp();
-  void TryAgain();
+  void Retry();
   void GiveUp();
   void Propose();
-  void TakeRows(const ReadResult& result);
-  bool SnapshotHelps() const;
-  bool FindConflict();
-  bool FindProblem();
+  void ApplyRows(const ReadResult& result);
+  bool CanUseSnapshot() const;
+  bool DetectConflict();
+  bool DetectProblem();
 
   Options options_;
   ConfigRevision change_;
@@ -94,7 +94,7 @@
   std::uint64_t read_after_ = 0;  ///< where the last read of the log began
   std::uint32_t tries_ = 0;
   bool object_failed_ = false;
-  bool own_found_ = false;
+  bool own_change_found_ = false;
 };
 
 }  // namespace gentianroute
--- a/packages/decision/include/gentianroute/decision/config_follower.h
+++ b/packages/decision/include/gentianroute/decision/config_follower.h
@@ -17,7 +17,7 @@
 class ConfigFollower {
  public:
   struct Options {
-    std::size_t kept_revisions = 256;  ///< to tell peers and operators
+    std::size_t max_kept_revisions = 256;  ///< to tell peers and operators
   };
 
   explicit ConfigFollower(const ConfigCodec& codec)
@@ -32,10 +32,10 @@
   bool Apply(const ConfigSnapshot& snapshot);
 
   /// @brief Notes that some source knows a higher revision.
-  void Heard(std::uint64_t revision);
+  void OnRevisionSeen(std::uint64_t revision);
 
   /// @brief Revision 0 is a store that was read and found empty.
-  void KnowEmpty() { known_ = known_ || highest_heard_ == 0; }
+  void OnEmptyLog() { known_ = known_ || highest_seen_ == 0; }
 
   /// @brief False until a store or a peer has told what is in force.
   ///
@@ -44,8 +44,8 @@
   /// nothing before it has reached the highest revision that it has heard of.
   bool known() const { return known_; }
   std::uint64_t revision() const { return revision_; }
-  std::uint64_t highest_heard() const { return highest_heard_; }
-  bool behind() const { return revision_ < highest_heard_; }
+  std::uint64_t highest_seen() const { return highest_seen_; }
+  bool behind() const { return revision_ < highest_seen_; }
   const CatalogueRef& catalogue() const { return catalogue_; }
   const Documents& documents() const { return documents_; }
 
@@ -57,14 +57,14 @@
   ConfigSnapshot Snapshot() const { return {revision_, documents_}; }
 
  private:
-  void Take(const ConfigRevision& revision, Catalogue& next);
+  void ApplyRevision(const ConfigRevision& revision, Catalogue& next);
   void Publish(std::shared_ptr<Catalogue> next);
 
   Options options_;
   const ConfigCodec& codec_;
   bool known_ = false;
   std::uint64_t revision_ = 0;
-  std::uint64_t highest_heard_ = 0;
+  std::uint64_t highest_seen_ = 0;
   Documents documents_;
   CatalogueRef catalogue_;
   std::deque<ConfigRevision> kept_;
--- a/packages/decision/include/gentianroute/decision/config_snapshotter.h
+++ b/packages/decision/include/gentianroute/decision/config_snapshotter.h
@@ -47,8 +47,8 @@
   void OnTransacted(const TransactResult& result);
 
  private:
-  void Read();
-  void NameSnapshot(std::uint64_t version);
+  void ReadRows();
+  void RecordSnapshot(std::uint64_t version);
   void DeleteRows(const ReadResult& result, const TableRow& floor);
 
   ConfigRetention retention_;
--- a/packages/decision/include/gentianroute/decision/lease.h
+++ b/packages/decision/include/gentianroute/decision/lease.h
@@ -41,10 +41,10 @@
     std::string pool;
     std::string holder;  ///< unlike any other, and any earlier incarnation
     Duration duration = std::chrono::seconds(10);
-    Duration renew_every = std::chrono::seconds(3);
+    Duration renewal_interval = std::chrono::seconds(3);
     /// Added by a new holder for what the old one sent last, and kept free at
     /// the end of a lease. Zero where the engines refuse old numbers.
-    Duration longest_order = std::chrono::seconds(2);
+    Duration max_order_delay = std::chrono::seconds(2);
   };
   enum class Step : std::uint8_t {
     kNone,
@@ -64,14 +64,14 @@
   const TableTransaction& transaction() const { return transaction_; }
 
   /// @brief Whether an order sent now arrives before the lease ends.
-  bool MaySend(TimePoint now) const {
-    return held_ && now + options_.longest_order <= valid_until_;
+  bool CanSend(TimePoint now) const {
+    return held_ && now + options_.max_order_delay <= valid_until_;
   }
   /// @brief For an order that was decided some time ago: whether it may still
   /// be written. The daemon may have lost the lease and won it again since;
   /// then another holder may have ordered in between, and the order is void.
-  bool MaySend(TimePoint now, std::uint64_t fencing) const {
-    return fencing == fencing_ && MaySend(now);
+  bool CanSend(TimePoint now, std::uint64_t fencing) const {
+    return fencing == fencing_ && CanSend(now);
   }
   std::uint64_t fencing() const { return fencing_; }
   bool held() const { return held_; }
@@ -87,17 +87,17 @@
   const LeaseCodec& codec_;
   TableKey key_;
   TableTransaction transaction_;
-  bool waiting_ = false;  ///< for an answer
+  bool awaiting_answer_ = false;  ///< for an answer
   Write write_ = Write::kNone;
   TimePoint sent_at_{};
-  bool known_ = false;  ///< the row, as of the last read or write
+  bool row_known_ = false;  ///< the row, as of the last read or write
   Lease row_;
   std::uint64_t row_version_ = 0;
-  TimePoint row_seen_{};  ///< when this version was first read
+  TimePoint row_first_seen_{};  ///< when this version was first read
   bool held_ = false;
   std::uint64_t fencing_ = 0;
   TimePoint valid_until_{};
-  TimePoint next_{};
+  TimePoint next_attempt_{};
 };
 
 }  // namespace gentianroute
--- a/packages/decision/include/gentianroute/decision/leaving_news.h
+++ b/packages/decision/include/gentianroute/decision/leaving_news.h
@@ -30,9 +30,9 @@
 class LeavingNews {
  public:
   struct Options {
-    std::size_t per_digest = 8;
-    Duration tell_absent = std::chrono::minutes(5);
-    Duration forget_absent = std::chrono::minutes(10);
+    std::size_t max_per_digest = 8;
+    Duration announce_period = std::chrono::minutes(5);
+    Duration retention_period = std::chrono::minutes(10);
   };
 
   LeavingNews() : LeavingNews(Options{}) {}
@@ -46,24 +46,24 @@
   std::vector<LeavingServer> OnHostList(TimePoint now,
                                         std::span<const HostRecord> hosts);
 
-  /// @brief The newest entries, then the others in turn, so that a daemon that
+  /// @brief The newest entries, then the older in turn, so that a daemon that
   /// was away hears of all in a few rounds.
-  std::vector<LeavingServer> ForDigest(TimePoint now);
+  std::vector<LeavingServer> SelectForDigest(TimePoint now);
 
   std::size_t size() const { return entries_.size(); }
 
  private:
   struct Entry {
-    std::uint64_t order = 0;  ///< of arrival
+    std::uint64_t sequence = 0;  ///< of arrival
     bool ever_listed = false;
     TimePoint absent_since = kNever;
   };
-  bool Tells(TimePoint now, const Entry& entry) const;
+  bool ShouldAnnounce(TimePoint now, const Entry& entry) const;
 
   Options options_;
   std::map<LeavingServer, Entry> entries_;
-  std::uint64_t next_order_ = 0;
-  std::size_t turn_ = 0;
+  std::uint64_t next_sequence_ = 0;
+  std::size_t rotation_offset_ = 0;
 };
 
 }  // namespace gentianroute
--- a/packages/decision/include/gentianroute/decision/order_issuer.h
+++ b/packages/decision/include/gentianroute/decision/order_issuer.h
@@ -37,8 +37,8 @@
 class OrderIssuer {
  public:
   struct Options {
-    Duration read_every = std::chrono::seconds(5);
-    Duration longest_order = std::chrono::seconds(2);
+    Duration read_interval = std::chrono::seconds(5);
+    Duration max_order_delay = std::chrono::seconds(2);
   };
   struct Steps {
     std::vector<std::string> reads;  ///< engines whose state is asked for
@@ -51,7 +51,7 @@
   /// @param engines of the pool that take work
   void SetEngines(std::span<const std::string> engines);
 
-  /// @brief What to send now; MayWrite is asked as the bytes of an order go.
+  /// @brief What to send now; CanWrite is asked as the bytes of an order go.
   Steps Advance(TimePoint now, const LeaseKeeper& lease);
 
   /// @brief Whether an order that was decided some time ago may be written now.
@@ -59,7 +59,7 @@
   /// Between the decision and the write the process may have been paused: the
   /// lease may be lost, or won again, or the time over in which the order
   /// counts as in flight, so that the lease is about to be given back.
-  bool MayWrite(TimePoint now,
+  bool CanWrite(TimePoint now,
                 const LeaseKeeper& lease,
                 const EngineOrder& order);
 
@@ -69,21 +69,22 @@
 
   /// @brief Whether an order may still take effect; a lease is given back only
   /// when none may.
-  bool InFlight(TimePoint now) const;
+  bool HasOrderInFlight(TimePoint now) const;
 
  private:
   struct Engine {
     std::optional<EngineState> state;
     TimePoint next_read{};
-    std::uint64_t order = 0;  ///< number of the last one
-    TimePoint order_until{};  ///< an order in flight may arrive until then
+    std::uint64_t last_order_number = 0;  ///< number of the last one
+    TimePoint
+        order_pending_until{};  ///< an order in flight may arrive until then
   };
 
   Options options_;
   std::vector<EngineGroup> groups_;
   std::map<std::string, Engine, std::less<>> engines_;
   std::uint64_t fencing_ = 0;
-  std::uint64_t orders_ = 0;
+  std::uint64_t last_order_number_ = 0;
 };
 
 }  // namespace gentianroute
--- a/packages/decision/include/gentianroute/decision/poll_schedule.h
+++ b/packages/decision/include/gentianroute/decision/poll_schedule.h
@@ -22,7 +22,7 @@
     std::string name;
     std::size_t pollers = 3;  ///< in each data centre
     Duration period = std::chrono::seconds(1);
-    std::uint32_t silent_periods = 4;  ///< before the others poll themselves
+    std::uint32_t fallback_periods = 4;  ///< before the others poll themselves
   };
 
   explicit PollSchedule(Options options);
@@ -32,21 +32,21 @@
   void SetPeers(std::span<const std::string> names);
 
   /// @brief Whether to poll now; called once a period.
-  bool Due(TimePoint now);
+  bool IsPollDue(TimePoint now);
   void OnPolled(TimePoint now, bool answered);
   /// @param age since somebody has read the store's log, as a peer says
-  void OnHeard(TimePoint now, Duration age);
+  void OnPeerReadAge(TimePoint now, Duration age);
   /// @brief For peers: since this daemon, or one that it heard of, has read.
   Duration Age(TimePoint now) const;
 
-  bool poller() const { return poller_; }
+  bool is_poller() const { return is_poller_; }
 
  private:
   Options options_;
-  bool poller_ = true;
+  bool is_poller_ = true;
   TimePoint read_at_{};
   bool ever_read_ = false;
-  TimePoint next_own_{};  ///< earliest poll of one that is no poller
+  TimePoint next_fallback_poll_{};  ///< earliest poll of one that is no poller
 };
 
 }  // namespace gentianroute
--- a/packages/decision/include/gentianroute/decision/pool_health.h
+++ b/packages/decision/include/gentianroute/decision/pool_health.h
@@ -18,8 +18,8 @@
 class PoolHealth {
  public:
   struct Options {
-    std::uint32_t failures = 3;  ///< in a row, over all servers
-    Duration silence = std::chrono::seconds(2);
+    std::uint32_t failure_threshold = 3;  ///< in a row, over all servers
+    Duration min_outage = std::chrono::seconds(2);
     Duration probe_period = std::chrono::milliseconds(500);
   };
 
@@ -37,11 +37,11 @@
     ++failures_;
   }
 
-  /// @param patience how long the newcomer would rather wait for the pool; the
+  /// @param max_wait how long the newcomer would rather wait for the pool; the
   /// longer a pool has been silent, the less likely it is back in time
-  bool IsDark(TimePoint now, Duration patience) const {
-    return failures_ >= options_.failures &&
-           now - failing_since_ >= std::max(options_.silence, patience);
+  bool IsUnresponsive(TimePoint now, Duration max_wait) const {
+    return failures_ >= options_.failure_threshold &&
+           now - failing_since_ >= std::max(options_.min_outage, max_wait);
   }
 
   /// @brief Whether a newcomer may try a dark pool; one a period may.
@@ -53,7 +53,9 @@
     return true;
   }
 
-  Duration FailingFor(TimePoint now) const { return now - failing_since_; }
+  Duration TimeSinceFirstFailure(TimePoint now) const {
+    return now - failing_since_;
+  }
 
  private:
   Options options_;
--- a/packages/decision/include/gentianroute/decision/prefix_affinity.h
+++ b/packages/decision/include/gentianroute/decision/prefix_affinity.h
@@ -37,7 +37,7 @@
   bool OnEvent(const CacheEvent& event);
 
   /// @brief Forgets an engine that is gone.
-  void Forget(std::string_view engine);
+  void RemoveEngine(std::string_view engine);
 
   bool Holds(std::string_view engine, std::uint64_t prefix) const;
 
@@ -48,7 +48,7 @@
   struct Cache {
     std::uint64_t incarnation = 0;
     std::uint64_t sequence = 0;
-    std::size_t most_removed = 1;  ///< by one event
+    std::size_t max_removed = 1;  ///< by one event
     std::uint64_t next_age = 0;
     std::unordered_map<std::uint64_t, std::uint64_t> ages;  ///< by prefix
     std::map<std::uint64_t, std::uint64_t> prefixes;        ///< by age
@@ -57,8 +57,8 @@
   void Add(const std::string& engine, Cache& cache, std::uint64_t prefix);
   void Drop(const std::string& engine, Cache& cache, std::uint64_t prefix);
   void DropOldest(const std::string& engine, Cache& cache, std::size_t count);
-  void Discard(const std::string& engine, Cache& cache);
-  void Remove(const std::string& engine, std::uint64_t prefix);
+  void DropAll(const std::string& engine, Cache& cache);
+  void RemoveHolder(const std::string& engine, std::uint64_t prefix);
 
   std::map<std::string, Cache, std::less<>> caches_;
   std::unordered_map<std::uint64_t, std::set<std::string, std::less<>>>
--- a/packages/decision/include/gentianroute/decision/server.h
+++ b/packages/decision/include/gentianroute/decision/server.h
@@ -42,23 +42,24 @@
   /// Moving average of what reports show beyond this daemon's own calls. A
   /// report is seconds late and may miss own calls, so one alone says little
   /// and can be negative; their average is right.
-  double others_load = 0;
+  double external_load = 0;
   std::uint32_t consecutive_failures = 0;
-  TimePoint out_of_favour_until{};
+  TimePoint ejected_until{};
   double service_seconds = 0;  ///< moving average of call time; 0: unknown
   std::uint64_t calls = 0;
   std::uint64_t failures = 0;
 
   /// Where the server stands in its tier's list of free ones.
   std::size_t free_index = kNotFree;
-  bool counted = false;  ///< among the accepting servers of its tier
+  bool counted_as_accepting =
+      false;  ///< among the accepting servers of its tier
 
   static constexpr std::size_t kNotFree = static_cast<std::size_t>(-1);
 
-  bool Accepts() const { return listed && !leaving; }
+  bool IsAccepting() const { return listed && !leaving; }
   /// @brief Calls there now, as far as this daemon can tell.
   double PredictedLoad() const {
-    return std::max(0.0, others_load) + in_flight;
+    return std::max(0.0, external_load) + in_flight;
   }
   /// @brief Whether this daemon may send one more call. Only own calls count:
   /// withholding slots on the word of late reports left servers idle.
--- a/packages/decision/include/gentianroute/decision/server_table.h
+++ b/packages/decision/include/gentianroute/decision/server_table.h
@@ -40,13 +40,15 @@
   Objective objective = Objective::kAttainment;
   bool cross_region = true;
   Duration expected{std::chrono::milliseconds(50)};
-  Duration expected_rest{0};  ///< of this and all later stages; zero: unknown
-  Duration line{0};           ///< wait of the last in line, as measured
+  Duration expected_remaining{
+      0};                  ///< of this and all later stages; zero: unknown
+  Duration queue_wait{0};  ///< wait of the last in line, as measured
   Duration remaining{std::chrono::seconds(6)};
   std::uint64_t prefix = 0;  ///< hash of the prompt prefix; 0: none
   std::size_t bytes = 0;     ///< estimate of what the call moves both ways
-  std::span<const ServerRef> avoid;  ///< servers that this stage tried already
-  bool in_favour_only = false;       ///< none at all rather than a failing one
+  std::span<const ServerRef>
+      excluded;                  ///< servers that this stage tried already
+  bool exclude_ejected = false;  ///< none at all rather than a failing one
 };
 
 /// @brief All backend servers, which of them may get work, and how they fare.
@@ -56,9 +58,9 @@
     std::string data_centre;
     std::string region;
     RoutingPolicy policy = RoutingPolicy::kPredictedCompletion;
-    std::uint32_t failures_out_of_favour = 3;
-    Duration out_of_favour = std::chrono::seconds(2);
-    Duration longest_out_of_favour = std::chrono::seconds(30);
+    std::uint32_t failures_before_ejection = 3;
+    Duration ejection_duration = std::chrono::seconds(2);
+    Duration max_ejection_duration = std::chrono::seconds(30);
   };
 
   ServerTable(Options options, std::map<std::string, PathCost> paths);
@@ -72,7 +74,7 @@
   void MarkLeaving(std::string_view server, std::uint64_t incarnation);
 
   /// @brief Drops what is known of an incarnation that no list names any more.
-  void ForgetLeaving(std::string_view server, std::uint64_t incarnation);
+  void RemoveLeaving(std::string_view server, std::uint64_t incarnation);
 
   /// @brief A load report that came back with an answer.
   void OnLoadReport(TimePoint now, Server& server, std::uint32_t load);
@@ -99,7 +101,9 @@
 
   /// @brief Lets engines that hold a prompt's prefix be preferred.
   /// @param caches outlives the table; null: no preference
-  void SetPrefixAffinity(const PrefixAffinity* caches) { caches_ = caches; }
+  void SetPrefixAffinity(const PrefixAffinity* caches) {
+    prefix_affinity_ = caches;
+  }
 
   void OnStart(Server& server);
   void OnSuccess(TimePoint now, Server& server, Duration took);
@@ -127,50 +131,49 @@
   struct Pool {
     std::array<Tier, kTiers> tiers;
   };
-  struct Choice {
+  struct Candidate {
     ServerRef server;
     double score = std::numeric_limits<double>::infinity();
   };
-  struct Question {
+  struct Query {
     TimePoint now;
     const PickContext& context;
-    bool in_favour_only;
+    bool exclude_ejected;
   };
-  using Choose = ServerRef (ServerTable::*)(const Pool&,
-                                            const Question&,
-                                            Rng&) const;
+  using ChooseFunction = ServerRef (ServerTable::*)(const Pool&,
+                                                    const Query&,
+                                                    Rng&) const;
 
   ServerRef ChoosePredicted(const Pool& pool,
-                            const Question& question,
+                            const Query& query,
                             Rng& rng) const;
-  ServerRef ChooseRandom(const Pool& pool,
-                         const Question& question,
-                         Rng& rng) const;
+  ServerRef ChooseRandom(const Pool& pool, const Query& query, Rng& rng) const;
   ServerRef ChooseLeastReported(const Pool& pool,
-                                const Question& question,
+                                const Query& query,
                                 Rng& rng) const;
-  void ConsiderHolders(const Question& question, Choice& best) const;
-  void ConsiderTwo(const Tier& tier,
-                   const Question& question,
-                   Rng& rng,
-                   Choice& best) const;
+  void ConsiderPrefixHolders(const Query& query, Candidate& best) const;
+  void ConsiderSample(const Tier& tier,
+                      const Query& query,
+                      Rng& rng,
+                      Candidate& best) const;
   void Consider(const ServerRef& server,
-                const Question& question,
-                Choice& best) const;
-  static bool MayWaitForNearer(const Pool& pool, const PickContext& context);
+                const Query& query,
+                Candidate& best) const;
+  static bool CanWaitForNearServer(const Pool& pool,
+                                   const PickContext& context);
   double PredictedSeconds(const Server& server,
                           const PickContext& context) const;
-  bool MayTake(const Server& server, const Question& question) const;
+  bool CanTake(const Server& server, const Query& query) const;
 
   std::size_t TierOf(const Server& server) const;
-  void Refresh(Server& server);
-  void Rebuild();
+  void UpdateIndex(Server& server);
+  void RebuildIndex();
 
   Options options_;
   std::map<std::string, PathCost> paths_;
   std::map<std::string, ServerRef, std::less<>> servers_;
   std::map<std::string, Pool, std::less<>> pools_;
-  const PrefixAffinity* caches_ = nullptr;
+  const PrefixAffinity* prefix_affinity_ = nullptr;
   std::set<std::pair<std::string, std::uint64_t>> leaving_;
 };
 
--- a/packages/decision/include/gentianroute/decision/suspect_table.h
+++ b/packages/decision/include/gentianroute/decision/suspect_table.h
@@ -31,12 +31,12 @@
 class SuspectTable {
  public:
   struct Options {
-    std::uint32_t crashes_alone = 2;     ///< if the last one ran alone
-    std::uint32_t crashes_together = 3;  ///< if others ran beside each
+    std::uint32_t sole_crash_threshold = 2;    ///< if the last one ran alone
+    std::uint32_t shared_crash_threshold = 3;  ///< if others ran beside each
     /// Longer than the list of hosts lags; an unconfirmed crash then lapses.
-    Duration confirm_within = std::chrono::seconds(3);
-    Duration suspicion = std::chrono::minutes(10);
-    Duration quarantine = std::chrono::minutes(30);
+    Duration confirmation_timeout = std::chrono::seconds(3);
+    Duration suspect_duration = std::chrono::minutes(10);
+    Duration quarantine_duration = std::chrono::minutes(30);
     std::size_t max_entries = 10'000;
   };
 
@@ -72,7 +72,7 @@
   bool HasSuspects() const { return !entries_.empty(); }
   bool IsSuspect(TimePoint now, Fingerprint fingerprint) const;
   bool IsQuarantined(TimePoint now, Fingerprint fingerprint) const;
-  bool IsAccused(TimePoint now, Fingerprint fingerprint) const;
+  bool IsQuarantinePending(TimePoint now, Fingerprint fingerprint) const;
 
   /// @brief What peers must know, with the time that is left of it.
   std::vector<std::pair<Fingerprint, Duration>> Quarantined(
@@ -95,18 +95,20 @@
     TimePoint quarantined_until{};
   };
 
-  void Confirm(TimePoint now,
-               std::string_view server,
-               std::uint64_t before_incarnation);
-  bool Enough(TimePoint now, const Entry& entry, bool confirmed_only) const;
-  bool IsOpen(TimePoint now, const Crash& crash) const {
-    return !crash.confirmed && now < crash.at + options_.confirm_within;
+  void ConfirmCrashes(TimePoint now,
+                      std::string_view server,
+                      std::uint64_t before_incarnation);
+  bool HasEnoughCrashes(TimePoint now,
+                        const Entry& entry,
+                        bool confirmed_only) const;
+  bool IsUnconfirmed(TimePoint now, const Crash& crash) const {
+    return !crash.confirmed && now < crash.at + options_.confirmation_timeout;
   }
 
   Options options_;
   std::unordered_map<Fingerprint, Entry> entries_;
   /// Who has an unconfirmed crash at a server.
-  std::map<std::string, std::set<Fingerprint>, std::less<>> open_;
+  std::map<std::string, std::set<Fingerprint>, std::less<>> unconfirmed_;
 };
 
 }  // namespace gentianroute
--- a/packages/decision/include/gentianroute/decision/usage_ledger.h
+++ b/packages/decision/include/gentianroute/decision/usage_ledger.h
@@ -21,8 +21,8 @@
 };
 
 /// @brief What one organisation (empty subscriber) or subscriber has used.
-struct UseRecord {
-  SubscriberName who;
+struct UsageRecord {
+  SubscriberName name;
   double cost = 0;  ///< cost units, decayed to the present
 };
 
@@ -54,7 +54,7 @@
   /// @brief Replaces what a peer says that it has served, as last heard.
   void SetRemote(TimePoint now,
                  std::string_view peer,
-                 const std::vector<UseRecord>& heaviest);
+                 const std::vector<UsageRecord>& heaviest);
 
   /// @brief Forgets a peer that is gone.
   void DropRemote(std::string_view peer);
@@ -71,13 +71,13 @@
 
   /// @brief The heaviest local records, to tell peers and operators.
   /// @complexity linear in the records
-  std::vector<UseRecord> Heaviest(TimePoint now, std::size_t limit) const;
+  std::vector<UsageRecord> Heaviest(TimePoint now, std::size_t limit) const;
 
   std::size_t record_count() const { return records_.size(); }
 
  private:
   struct Record {
-    SubscriberName who;
+    SubscriberName name;
     double local = 0;
     double remote = 0;
   };
@@ -92,7 +92,7 @@
   TimePoint origin_{};
   std::uint64_t epoch_ = 0;
   std::unordered_map<std::string, Record> records_;
-  std::unordered_map<std::string, std::vector<UseRecord>> remote_;
+  std::unordered_map<std::string, std::vector<UsageRecord>> remote_;
 };
 
 }  // namespace gentianroute
--- a/packages/decision/src/config.cc
+++ b/packages/decision/src/config.cc
@@ -36,8 +36,8 @@
       catalogue.pools.erase(change.name);
       break;
   }
-  return change.body.empty() ||
-         codec.AddTo(catalogue, change.FullName(), {change.body, revision});
+  return change.body.empty() || codec.AddDocument(catalogue, change.FullName(),
+                                                  {change.body, revision});
 }
 
 }  // namespace gentianroute
--- a/packages/decision/src/config_apply.cc
+++ b/packages/decision/src/config_apply.cc
@@ -46,7 +46,7 @@
   }
 }
 
-void ConfigApply::TryAgain() {
+void ConfigApply::Retry() {
   if (++tries_ < options_.max_tries) {
     ReadLog();
     return;
@@ -55,20 +55,20 @@
 }
 
 void ConfigApply::GiveUp() {
-  state_ = own_found_ ? State::kApplied : State::kUnreachable;
+  state_ = own_change_found_ ? State::kApplied : State::kUnreachable;
 }
 
 void ConfigApply::OnRead(const ReadResult& result) {
   if (!result.answered) {
-    TryAgain();
+    Retry();
     return;
   }
-  TakeRows(result);
+  ApplyRows(result);
   if (follower_.revision() < head_revision_) {
     CatchUp();
     return;
   }
-  if (own_found_) {
+  if (own_change_found_) {
     state_ = State::kApplied;
     return;
   }
@@ -76,18 +76,18 @@
     // Peers were faster than this read. It may be older than the change's own
     // row while the follower holds the change itself, which would then be told
     // as a conflict with itself; a newer read shows both.
-    TryAgain();
+    Retry();
     return;
   }
   if (change_.change_id.empty()) {
     state_ = State::kCaughtUp;
     return;
   }
-  if (FindConflict()) {
+  if (DetectConflict()) {
     state_ = State::kConflict;
     return;
   }
-  if (FindProblem()) {
+  if (DetectProblem()) {
     state_ = State::kInvalid;
     return;
   }
@@ -95,7 +95,7 @@
 }
 
 void ConfigApply::CatchUp() {
-  if (SnapshotHelps()) {
+  if (CanUseSnapshot()) {
     state_ = State::kGetObject;
     object_ = ConfigSnapshotObject(options_.retention, snapshot_revision_);
     return;
@@ -105,10 +105,10 @@
     return;
   }
   object_failed_ = false;
-  TryAgain();
+  Retry();
 }
 
-bool ConfigApply::SnapshotHelps() const {
+bool ConfigApply::CanUseSnapshot() const {
   return !object_failed_ &&
          snapshot_revision_ > follower_.revision() + kRevisionsPerRead;
 }
@@ -123,7 +123,7 @@
   ReadLog();
 }
 
-void ConfigApply::TakeRows(const ReadResult& result) {
+void ConfigApply::ApplyRows(const ReadResult& result) {
   head_version_ = 0;
   head_revision_ = 0;
   std::vector<ConfigRevision> revisions;
@@ -138,21 +138,21 @@
     } else if (row.key == Row(kConfigSnapshotKey)) {
       snapshot_revision_ = ParseLeadingNumber(row.value);
     } else if (row.key == own) {
-      own_found_ = true;
+      own_change_found_ = true;
       change_.revision = ParseLeadingNumber(row.value);
     } else if (auto revision = codec_.Decode(row.value)) {
       revisions.push_back(std::move(*revision));
     }
   }
-  follower_.Heard(head_revision_);
+  follower_.OnRevisionSeen(head_revision_);
   std::ranges::sort(revisions, {}, &ConfigRevision::revision);
   follower_.Apply(revisions);
   if (head_revision_ == 0) {
-    follower_.KnowEmpty();
+    follower_.OnEmptyLog();
   }
 }
 
-bool ConfigApply::FindConflict() {
+bool ConfigApply::DetectConflict() {
   for (const DocumentChange& change : change_.changes) {
     const auto present = follower_.documents().find(change.FullName());
     const bool exists = present != follower_.documents().end();
@@ -167,7 +167,7 @@
   return false;
 }
 
-bool ConfigApply::FindProblem() {
+bool ConfigApply::DetectProblem() {
   // Each author checked the change against what was in force then. After a
   // rebase onto another's change (a pool deleted while a stage began to use
   // it) both would be valid alone and requests of the service would fail.
--- a/packages/decision/src/config_follower.cc
+++ b/packages/decision/src/config_follower.cc
@@ -12,21 +12,21 @@
       codec_(codec),
       catalogue_(std::make_shared<Catalogue>()) {}
 
-void ConfigFollower::Heard(std::uint64_t revision) {
-  highest_heard_ = std::max(highest_heard_, revision);
+void ConfigFollower::OnRevisionSeen(std::uint64_t revision) {
+  highest_seen_ = std::max(highest_seen_, revision);
 }
 
 bool ConfigFollower::Apply(std::span<const ConfigRevision> revisions) {
   std::shared_ptr<Catalogue> next;
   for (const ConfigRevision& revision : revisions) {
-    Heard(revision.revision);
+    OnRevisionSeen(revision.revision);
     if (revision.revision != revision_ + 1) {
       continue;
     }
     if (next == nullptr) {
       next = std::make_shared<Catalogue>(*catalogue_);
     }
-    Take(revision, *next);
+    ApplyRevision(revision, *next);
   }
   if (next == nullptr) {
     return false;
@@ -36,7 +36,7 @@
 }
 
 bool ConfigFollower::Apply(const ConfigSnapshot& snapshot) {
-  Heard(snapshot.revision);
+  OnRevisionSeen(snapshot.revision);
   if (snapshot.revision <= revision_) {
     return false;
   }
@@ -45,13 +45,14 @@
   kept_.clear();
   auto next = std::make_shared<Catalogue>();
   for (const auto& [name, document] : documents_) {
-    codec_.AddTo(*next, name, document);
+    codec_.AddDocument(*next, name, document);
   }
   Publish(std::move(next));
   return true;
 }
 
-void ConfigFollower::Take(const ConfigRevision& revision, Catalogue& next) {
+void ConfigFollower::ApplyRevision(const ConfigRevision& revision,
+                                   Catalogue& next) {
   GR_INVARIANT(revision.revision == revision_ + 1);
   revision_ = revision.revision;
   for (const DocumentChange& change : revision.changes) {
@@ -63,14 +64,14 @@
     ChangeCatalogue(next, change, revision.revision, codec_);
   }
   kept_.push_back(revision);
-  if (kept_.size() > options_.kept_revisions) {
+  if (kept_.size() > options_.max_kept_revisions) {
     kept_.pop_front();
   }
 }
 
 void ConfigFollower::Publish(std::shared_ptr<Catalogue> next) {
   GR_INVARIANT(catalogue_->revision < revision_);
-  GR_INVARIANT(revision_ <= highest_heard_);
+  GR_INVARIANT(revision_ <= highest_seen_);
   known_ = known_ || !behind();
   next->revision = revision_;
   catalogue_ = std::move(next);
--- a/packages/decision/src/config_snapshotter.cc
+++ b/packages/decision/src/config_snapshotter.cc
@@ -14,7 +14,7 @@
   return {std::string(kConfigTable), std::string(key)};
 }
 
-TableRow Find(const ReadResult& result, const TableKey& key) {
+TableRow FindRow(const ReadResult& result, const TableKey& key) {
   const auto found = std::ranges::find(result.rows, key, &TableRow::key);
   return found == result.rows.end() ? TableRow{key, "", 0} : *found;
 }
@@ -44,10 +44,10 @@
     state_ = State::kIdle;
     return;
   }
-  Read();
+  ReadRows();
 }
 
-void ConfigSnapshotter::Read() {
+void ConfigSnapshotter::ReadRows() {
   state_ = State::kRead;
   reads_ = {Row(kConfigSnapshotKey), Row(kConfigFloorKey)};
   for (std::uint64_t i = 1; i <= kRowsPerStep; ++i) {
@@ -60,24 +60,24 @@
   if (!result.answered) {
     return;
   }
-  const TableRow named = Find(result, Row(kConfigSnapshotKey));
-  if (ParseLeadingNumber(named.value) < revision_) {
-    NameSnapshot(named.version);
+  const TableRow recorded = FindRow(result, Row(kConfigSnapshotKey));
+  if (ParseLeadingNumber(recorded.value) < revision_) {
+    RecordSnapshot(recorded.version);
     return;
   }
-  const TableRow floor = Find(result, Row(kConfigFloorKey));
+  const TableRow floor = FindRow(result, Row(kConfigFloorKey));
   if (revision_ <= retention_.kept_rows + ParseLeadingNumber(floor.value)) {
     return;
   }
   if (ParseLeadingNumber(floor.value) != floor_) {
     floor_ = ParseLeadingNumber(floor.value);
-    Read();
+    ReadRows();
     return;
   }
   DeleteRows(result, floor);
 }
 
-void ConfigSnapshotter::NameSnapshot(std::uint64_t version) {
+void ConfigSnapshotter::RecordSnapshot(std::uint64_t version) {
   transaction_ = {};
   transaction_.conditions.push_back({Row(kConfigSnapshotKey), version});
   transaction_.writes.push_back(
@@ -93,7 +93,7 @@
   transaction_.conditions.push_back({floor.key, floor.version});
   transaction_.writes.push_back({floor.key, std::to_string(end)});
   for (std::uint64_t revision = floor_ + 1; revision <= end; ++revision) {
-    const TableRow row = Find(result, Row(ConfigRevisionKey(revision)));
+    const TableRow row = FindRow(result, Row(ConfigRevisionKey(revision)));
     transaction_.writes.push_back({row.key, std::nullopt});
     if (const auto change = codec_.Decode(row.value)) {
       transaction_.writes.push_back(
@@ -108,7 +108,7 @@
     state_ = State::kIdle;  // another writer is at it, or the next one will be
     return;
   }
-  Read();
+  ReadRows();
 }
 
 }  // namespace gentianroute
--- a/packages/decision/src/coordinator.cc
+++ b/packages/decision/src/coordinator.cc
@@ -79,7 +79,7 @@
     EnterStage(now, request);
     return;
   }
-  const Duration failing = pool_health_[dark->pool].FailingFor(now);
+  const Duration failing = pool_health_[dark->pool].TimeSinceFirstFailure(now);
   Finish(now, request, ErrorKind::kNoServer,
          "no server of pool '" + dark->pool + "' has answered for " +
              std::to_string(failing.count() / 1000) + " ms",
@@ -99,7 +99,8 @@
       thrifty ? Duration{0} : kDeadlinesWaited * (request.deadline - now);
   for (const StageSpec& stage : request.profile->stages) {
     const auto health = pool_health_.find(stage.pool);
-    if (health != pool_health_.end() && health->second.IsDark(now, patience) &&
+    if (health != pool_health_.end() &&
+        health->second.IsUnresponsive(now, patience) &&
         !health->second.TryProbe(now)) {
       return &stage;
     }
@@ -114,7 +115,7 @@
     detail = "this request crashed the backend servers that ran it";
     return ErrorKind::kQuarantined;
   }
-  if (suspects_.IsAccused(now, request.submission.fingerprint)) {
+  if (suspects_.IsQuarantinePending(now, request.submission.fingerprint)) {
     detail = "a server that ran this request has just failed";
     return ErrorKind::kNoServer;
   }
--- a/packages/decision/src/coordinator_answers.cc
+++ b/packages/decision/src/coordinator_answers.cc
@@ -232,7 +232,8 @@
     BackOff(now, request);
     return;
   }
-  if (again && suspects_.IsAccused(now, request.submission.fingerprint)) {
+  if (again &&
+      suspects_.IsQuarantinePending(now, request.submission.fingerprint)) {
     ++counters_.retries;
     request.phase = RequestPhase::kQueued;
     Arm(now + kAccusedRetry, TimerKind::kBackOff, request.id.value);
--- a/packages/decision/src/coordinator_dispatch.cc
+++ b/packages/decision/src/coordinator_dispatch.cc
@@ -95,7 +95,7 @@
   // time: side by side they would crash several servers before the first crash
   // is known.
   const Fingerprint fingerprint = request.submission.fingerprint;
-  return suspects_.IsAccused(now, fingerprint) ||
+  return suspects_.IsQuarantinePending(now, fingerprint) ||
          (running_.contains(fingerprint) &&
           suspects_.IsSuspect(now, fingerprint));
 }
@@ -151,8 +151,9 @@
   context.objective = request.profile->objective;
   context.cross_region = request.profile->cross_region;
   context.expected = Expected(stage);
-  context.expected_rest = ExpectedRest(request);
-  context.line = paces_[stage.pool].WaitFor(queues_.at(stage.pool).size());
+  context.expected_remaining = ExpectedRest(request);
+  context.queue_wait =
+      paces_[stage.pool].WaitFor(queues_.at(stage.pool).size());
   context.remaining = request.deadline - now;
   context.prefix = stage.streams ? request.submission.prefix : 0;
   context.bytes = request.submission.body.size();
@@ -163,9 +164,9 @@
                        PickContext& context,
                        const std::vector<ServerRef>& avoid,
                        ServerRef& server) {
-  context.avoid = avoid;
+  context.excluded = avoid;
   server = servers_.Pick(now, context, rng_);
-  context.avoid = {};
+  context.excluded = {};
   return server != nullptr;
 }
 
@@ -193,7 +194,7 @@
            Pick(now, context, {}, server);
   }
   WaitForIsolation(request);
-  context.avoid = isolated;
+  context.excluded = isolated;
   const bool others_work = servers_.LeastBusy(now, context) != nullptr;
   return !others_work && ReservationAt(now, stage.pool) == nullptr &&
          Pick(now, context, {}, server);
@@ -212,7 +213,7 @@
   const std::vector<ServerRef> busy = BusyServers();
   std::vector<ServerRef> best = busy;
   Append(best, request.tried);
-  context.in_favour_only = true;
+  context.exclude_ejected = true;
   if (Pick(now, context, best, server)) {
     return true;
   }
@@ -223,7 +224,7 @@
     }
     std::vector<ServerRef> avoid = SuspectServers();
     Append(avoid, request.tried);
-    context.avoid = avoid;
+    context.excluded = avoid;
     const ServerRef quiet = servers_.LeastBusy(now, context);
     if (quiet != nullptr) {
       reservations_[pool] = {quiet, request.id};
@@ -234,7 +235,7 @@
   // never beside a call whose outcome a crash would leave unknown.
   std::vector<ServerRef> last = IsolatedServers(now, pool);
   Append(last, ServersWithEffects());
-  context.in_favour_only = false;
+  context.exclude_ejected = false;
   return Pick(now, context, busy, server) || Pick(now, context, last, server);
 }
 
@@ -252,7 +253,7 @@
       request->second.phase == RequestPhase::kQueued &&
       now < request->second.isolate_until && !IsHeld(now, request->second) &&
       suspects_.IsSuspect(now, request->second.submission.fingerprint) &&
-      server->Accepts() && now >= server->out_of_favour_until;
+      server->IsAccepting() && now >= server->ejected_until;
   return lasts ? &found->second : nullptr;
 }
 
@@ -305,7 +306,7 @@
       [pool](const ServerRef& server) { return server->host.pool == pool; });
   const auto live =
       std::ranges::count_if(servers_.servers(), [pool](const auto& item) {
-        return item.second->host.pool == pool && item.second->Accepts();
+        return item.second->host.pool == pool && item.second->IsAccepting();
       });
   return running < std::max<std::ptrdiff_t>(1, live / kServersPerSuspect);
 }
--- a/packages/decision/src/coordinator_stages.cc
+++ b/packages/decision/src/coordinator_stages.cc
@@ -105,7 +105,7 @@
   }
   Request& request = found->second;
   GR_INVARIANT(request.phase == RequestPhase::kQueued);
-  if (suspects_.IsAccused(now, request.submission.fingerprint)) {
+  if (suspects_.IsQuarantinePending(now, request.submission.fingerprint)) {
     Arm(now + kAccusedRetry, TimerKind::kBackOff, id);
     return;
   }
@@ -119,7 +119,7 @@
   // the store confirmed.
   GR_INVARIANT(stage.MayRepeat() || !request.stage_maybe_run);
   GR_INVARIANT(request.claim_token.empty() || request.claim_stands);
-  GR_INVARIANT(server->Accepts());
+  GR_INVARIANT(server->IsAccepting());
   GR_INVARIANT(now < request.deadline);
 
   const AttemptId id{next_attempt_++};
--- a/packages/decision/src/lease.cc
+++ b/packages/decision/src/lease.cc
@@ -15,9 +15,9 @@
   if (held_ && now >= valid_until_) {
     // Paused or cut off: another daemon may be the holder by now.
     held_ = false;
-    known_ = false;
+    row_known_ = false;
   }
-  if (waiting_) {
+  if (awaiting_answer_) {
     return Step::kNone;
   }
   if (held_) {
@@ -26,39 +26,39 @@
   if (!wanted) {
     return Step::kNone;
   }
-  if (known_ && MayAcquire(now)) {
+  if (row_known_ && MayAcquire(now)) {
     return Begin(now, Write::kAcquire);
   }
-  if (now < next_) {
+  if (now < next_attempt_) {
     return Step::kNone;
   }
-  next_ = now + options_.renew_every;
-  waiting_ = true;
+  next_attempt_ = now + options_.renewal_interval;
+  awaiting_answer_ = true;
   return Step::kRead;
 }
 
 LeaseKeeper::Step LeaseKeeper::AdvanceHolder(TimePoint now, bool wanted) {
-  if (!known_) {  // a renewal whose answer was lost
-    waiting_ = true;
+  if (!row_known_) {  // a renewal whose answer was lost
+    awaiting_answer_ = true;
     return Step::kRead;
   }
   if (!wanted) {
     return Begin(now, Write::kRelease);
   }
-  if (now < next_) {
+  if (now < next_attempt_) {
     return Step::kNone;
   }
-  next_ = now + options_.renew_every;
+  next_attempt_ = now + options_.renewal_interval;
   return Begin(now, Write::kRenew);
 }
 
 bool LeaseKeeper::MayAcquire(TimePoint now) const {
-  const bool nobodys = row_version_ == 0 || row_.holder.empty();
+  const bool unheld = row_version_ == 0 || row_.holder.empty();
   // A row of its own that it does not hold: an acquisition whose answer was
   // lost, under which it has sent nothing, or a lease that it let lapse.
   const bool own = row_.holder == options_.holder;
-  return nobodys || own ||
-         now - row_seen_ >= options_.duration + options_.longest_order;
+  return unheld || own ||
+         now - row_first_seen_ >= options_.duration + options_.max_order_delay;
 }
 
 LeaseKeeper::Step LeaseKeeper::Begin(TimePoint now, Write write) {
@@ -73,14 +73,14 @@
   transaction_ = {{{key_, row_version_}}, {{key_, codec_.Encode(next)}}};
   write_ = write;
   sent_at_ = now;
-  waiting_ = true;
+  awaiting_answer_ = true;
   return Step::kTransact;
 }
 
 void LeaseKeeper::OnTransacted(TimePoint now, const TransactResult& result) {
-  waiting_ = false;
+  awaiting_answer_ = false;
   const Write write = std::exchange(write_, Write::kNone);
-  known_ = false;
+  row_known_ = false;
   if (result.status == TableStatus::kConditionFailed) {
     held_ = false;
     return;
@@ -91,10 +91,10 @@
   if (write == Write::kRenew && !held_) {
     return;  // lapsed while the answer was on its way
   }
-  known_ = true;
+  row_known_ = true;
   row_.holder = options_.holder;
   row_version_ = result.versions.at(0);
-  row_seen_ = now;
+  row_first_seen_ = now;
   if (write == Write::kAcquire) {
     GR_INVARIANT(!held_);
     ++row_.fencing;
@@ -103,11 +103,11 @@
     held_ = true;
   }
   valid_until_ = sent_at_ + options_.duration;
-  next_ = sent_at_ + options_.renew_every;
+  next_attempt_ = sent_at_ + options_.renewal_interval;
 }
 
 void LeaseKeeper::OnRead(TimePoint now, const ReadResult& result) {
-  waiting_ = false;
+  awaiting_answer_ = false;
   if (!result.answered || result.rows.size() != 1) {
     return;
   }
@@ -116,11 +116,11 @@
   if (row.version != 0 && !lease.has_value()) {
     return;
   }
-  if (!known_ || row.version != row_version_) {
-    row_seen_ = row.version == row_version_ ? row_seen_ : now;
+  if (!row_known_ || row.version != row_version_) {
+    row_first_seen_ = row.version == row_version_ ? row_first_seen_ : now;
     row_ = lease.value_or(Lease{});
     row_version_ = row.version;
-    known_ = true;
+    row_known_ = true;
   }
   if (held_ && (row_.holder != options_.holder || row_.fencing != fencing_)) {
     held_ = false;
--- a/packages/decision/src/leaving_news.cc
+++ b/packages/decision/src/leaving_news.cc
@@ -9,7 +9,7 @@
 bool LeavingNews::Add(const LeavingServer& server) {
   const auto [place, added] = entries_.try_emplace(server);
   if (added) {
-    place->second.order = next_order_++;
+    place->second.sequence = next_sequence_++;
   }
   return added;
 }
@@ -28,7 +28,7 @@
       entry.absent_since = kNever;  // a list that flaps starts the time anew
     } else if (entry.absent_since == kNever) {
       entry.absent_since = now;
-    } else if (now - entry.absent_since >= options_.forget_absent) {
+    } else if (now - entry.absent_since >= options_.retention_period) {
       forgotten.push_back(server);
     }
   }
@@ -38,35 +38,38 @@
   return forgotten;
 }
 
-bool LeavingNews::Tells(TimePoint now, const Entry& entry) const {
+bool LeavingNews::ShouldAnnounce(TimePoint now, const Entry& entry) const {
   if (entry.absent_since == kNever) {
     return true;
   }
   // What was never in the own list may be an entry that this daemon has
   // forgotten and a slower peer has not. Passed on, it would go round between
   // daemons that forget at different times and never end.
-  return entry.ever_listed && now - entry.absent_since < options_.tell_absent;
+  return entry.ever_listed &&
+         now - entry.absent_since < options_.announce_period;
 }
 
-std::vector<LeavingServer> LeavingNews::ForDigest(TimePoint now) {
-  std::vector<std::pair<std::uint64_t, const LeavingServer*>> told;
+std::vector<LeavingServer> LeavingNews::SelectForDigest(TimePoint now) {
+  std::vector<std::pair<std::uint64_t, const LeavingServer*>> announced;
   for (const auto& [server, entry] : entries_) {
-    if (Tells(now, entry)) {
-      told.emplace_back(entry.order, &server);
+    if (ShouldAnnounce(now, entry)) {
+      announced.emplace_back(entry.sequence, &server);
     }
   }
-  std::ranges::sort(told, std::greater{});
+  std::ranges::sort(announced, std::greater{});
   std::vector<LeavingServer> chosen;
-  const std::size_t newest = std::min(options_.per_digest / 2, told.size());
+  const std::size_t newest =
+      std::min(options_.max_per_digest / 2, announced.size());
   for (std::size_t i = 0; i < newest; ++i) {
-    chosen.push_back(*told[i].second);
+    chosen.push_back(*announced[i].second);
   }
-  const std::size_t others = told.size() - newest;
-  const std::size_t room = std::min(options_.per_digest - newest, others);
-  for (std::size_t i = 0; i < room; ++i) {
-    chosen.push_back(*told[newest + (turn_ + i) % others].second);
+  const std::size_t older = announced.size() - newest;
+  const std::size_t rotated = std::min(options_.max_per_digest - newest, older);
+  for (std::size_t i = 0; i < rotated; ++i) {
+    chosen.push_back(
+        *announced[newest + (rotation_offset_ + i) % older].second);
   }
-  turn_ += room;
+  rotation_offset_ += rotated;
   return chosen;
 }
 
--- a/packages/decision/src/order_issuer.cc
+++ b/packages/decision/src/order_issuer.cc
@@ -8,27 +8,27 @@
 namespace gentianroute {
 namespace {
 
-using Assigned = std::map<std::string, EngineState>;
-using Known = std::map<std::string, std::optional<EngineState>>;
+using Assignment = std::map<std::string, EngineState>;
+using KnownStates = std::map<std::string, std::optional<EngineState>>;
 
-/// Takes up to `room` free engines; only those that run the state already, or
-/// any.
-std::uint32_t Fill(Assigned& assigned,
-                   const Known& engines,
-                   const EngineGroup& group,
-                   std::uint32_t room,
-                   bool running_only) {
+/// Takes up to `vacancies` free engines; only those that run the state already,
+/// or any.
+std::uint32_t FillGroup(Assignment& assigned,
+                        const KnownStates& engines,
+                        const EngineGroup& group,
+                        std::uint32_t vacancies,
+                        bool running_only) {
   for (const auto& [name, state] : engines) {
-    if (room == 0) {
+    if (vacancies == 0) {
       break;
     }
     const bool running = state.has_value() && *state == group.state;
     if ((running || !running_only) && !assigned.contains(name)) {
       assigned[name] = group.state;
-      --room;
+      --vacancies;
     }
   }
-  return room;
+  return vacancies;
 }
 
 }  // namespace
@@ -36,7 +36,7 @@
 std::map<std::string, EngineState> AssignEngines(
     std::span<const EngineGroup> groups,
     const std::map<std::string, std::optional<EngineState>>& engines) {
-  Assigned assigned;
+  Assignment assigned;
   for (const EngineGroup& group : groups) {
     for (const std::string& server : group.servers) {
       if (engines.contains(server)) {
@@ -44,13 +44,13 @@
       }
     }
   }
-  std::vector<std::uint32_t> room;
-  room.reserve(groups.size());
+  std::vector<std::uint32_t> vacancies;
+  vacancies.reserve(groups.size());
   for (const EngineGroup& group : groups) {
-    room.push_back(Fill(assigned, engines, group, group.count, true));
+    vacancies.push_back(FillGroup(assigned, engines, group, group.count, true));
   }
   for (std::size_t i = 0; i < groups.size(); ++i) {
-    Fill(assigned, engines, groups[i], room[i], false);
+    FillGroup(assigned, engines, groups[i], vacancies[i], false);
   }
   return assigned;
 }
@@ -71,7 +71,7 @@
 OrderIssuer::Steps OrderIssuer::Advance(TimePoint now,
                                         const LeaseKeeper& lease) {
   Steps steps;
-  if (!lease.MaySend(now) || groups_.empty()) {
+  if (!lease.CanSend(now) || groups_.empty()) {
     return steps;
   }
   if (lease.fencing() != fencing_) {
@@ -83,46 +83,48 @@
       engine.next_read = now;
     }
   }
-  Known known;
+  KnownStates known;
   for (const auto& [name, engine] : engines_) {
     known[name] = engine.state;
   }
-  const Assigned assigned = AssignEngines(groups_, known);
+  const Assignment assigned = AssignEngines(groups_, known);
   for (auto& [name, engine] : engines_) {
     // One order at a time: an older one that is slow would otherwise undo a
     // newer one on an engine that ignores the number.
-    if (now < engine.order_until) {
+    if (now < engine.order_pending_until) {
       continue;
     }
     const auto wanted = assigned.find(name);
     if (wanted != assigned.end() && engine.state.has_value() &&
         *engine.state != wanted->second) {
-      engine.order_until = now + options_.longest_order;
+      engine.order_pending_until = now + options_.max_order_delay;
       engine.state.reset();
-      engine.next_read = now + options_.longest_order;
-      engine.order = ++orders_;
-      steps.orders.push_back({name, fencing_, engine.order, wanted->second});
+      engine.next_read = now + options_.max_order_delay;
+      engine.last_order_number = ++last_order_number_;
+      steps.orders.push_back(
+          {name, fencing_, engine.last_order_number, wanted->second});
     } else if (now >= engine.next_read) {
-      engine.next_read = now + options_.read_every;
+      engine.next_read = now + options_.read_interval;
       steps.reads.push_back(name);
     }
   }
   return steps;
 }
 
-bool OrderIssuer::MayWrite(TimePoint now,
+bool OrderIssuer::CanWrite(TimePoint now,
                            const LeaseKeeper& lease,
                            const EngineOrder& order) {
   const auto found = engines_.find(order.engine);
-  if (found == engines_.end() || !lease.MaySend(now, order.fencing)) {
+  if (found == engines_.end() || !lease.CanSend(now, order.fencing)) {
     return false;
   }
   Engine& engine = found->second;
-  if (engine.order != order.number || now >= engine.order_until) {
+  if (engine.last_order_number != order.number ||
+      now >= engine.order_pending_until) {
     return false;
   }
-  engine.order_until = now + options_.longest_order;
-  engine.next_read = engine.order_until;
+  engine.order_pending_until = now + options_.max_order_delay;
+  engine.next_read = engine.order_pending_until;
   return true;
 }
 
@@ -137,14 +139,14 @@
 void OrderIssuer::OnOrderAnswered(std::string_view engine) {
   const auto found = engines_.find(engine);
   if (found != engines_.end()) {
-    found->second.order_until = {};
+    found->second.order_pending_until = {};
     found->second.next_read = {};
   }
 }
 
-bool OrderIssuer::InFlight(TimePoint now) const {
+bool OrderIssuer::HasOrderInFlight(TimePoint now) const {
   return std::ranges::any_of(engines_, [now](const auto& item) {
-    return now < item.second.order_until;
+    return now < item.second.order_pending_until;
   });
 }
 
--- a/packages/decision/src/poll_schedule.cc
+++ b/packages/decision/src/poll_schedule.cc
@@ -10,15 +10,15 @@
 PollSchedule::PollSchedule(Options options) : options_(std::move(options)) {}
 
 void PollSchedule::SetPeers(std::span<const std::string> names) {
-  poller_ = RendezvousRank("", options_.name, names) < options_.pollers;
+  is_poller_ = RendezvousRank("", options_.name, names) < options_.pollers;
 }
 
-bool PollSchedule::Due(TimePoint now) {
-  if (poller_) {
+bool PollSchedule::IsPollDue(TimePoint now) {
+  if (is_poller_) {
     return true;
   }
-  const Duration silence = options_.silent_periods * options_.period;
-  if (Age(now) < silence || now < next_own_) {
+  const Duration silence = options_.fallback_periods * options_.period;
+  if (Age(now) < silence || now < next_fallback_poll_) {
     return false;
   }
   // Spread by the name: when the store is out everybody hears nothing, and all
@@ -26,7 +26,7 @@
   const auto spread =
       static_cast<Duration::rep>(std::hash<std::string>{}(options_.name) %
                                  static_cast<std::uint64_t>(silence.count()));
-  next_own_ = now + silence + Duration(spread);
+  next_fallback_poll_ = now + silence + Duration(spread);
   return true;
 }
 
@@ -37,7 +37,7 @@
   }
 }
 
-void PollSchedule::OnHeard(TimePoint now, Duration age) {
+void PollSchedule::OnPeerReadAge(TimePoint now, Duration age) {
   if (!ever_read_ || now - age > read_at_) {
     read_at_ = now - age;
     ever_read_ = true;
--- a/packages/decision/src/prefix_affinity.cc
+++ b/packages/decision/src/prefix_affinity.cc
@@ -14,15 +14,15 @@
   }
   const std::uint64_t missed = same ? event.sequence - cache.sequence - 1 : 0;
   if (!is_new && !same) {
-    Discard(event.engine, cache);
+    DropAll(event.engine, cache);
   }
   if (missed > 0) {
     const std::uint64_t known = std::min(missed, cache.prefixes.size());
-    DropOldest(event.engine, cache, known * cache.most_removed);
+    DropOldest(event.engine, cache, known * cache.max_removed);
   }
   cache.incarnation = event.incarnation;
   cache.sequence = event.sequence;
-  cache.most_removed = std::max(cache.most_removed, event.removed.size());
+  cache.max_removed = std::max(cache.max_removed, event.removed.size());
   for (const std::uint64_t prefix : event.removed) {
     Drop(event.engine, cache, prefix);
   }
@@ -51,7 +51,7 @@
   }
   cache.prefixes.erase(found->second);
   cache.ages.erase(found);
-  Remove(engine, prefix);
+  RemoveHolder(engine, prefix);
 }
 
 void PrefixAffinity::DropOldest(const std::string& engine,
@@ -62,12 +62,12 @@
   }
 }
 
-void PrefixAffinity::Forget(std::string_view engine) {
+void PrefixAffinity::RemoveEngine(std::string_view engine) {
   const auto found = caches_.find(engine);
   if (found == caches_.end()) {
     return;
   }
-  Discard(found->first, found->second);
+  DropAll(found->first, found->second);
   caches_.erase(found);
 }
 
@@ -84,12 +84,13 @@
   return found == holders_.end() ? kNone : found->second;
 }
 
-void PrefixAffinity::Discard(const std::string& engine, Cache& cache) {
+void PrefixAffinity::DropAll(const std::string& engine, Cache& cache) {
   DropOldest(engine, cache, cache.prefixes.size());
-  cache.most_removed = 1;
+  cache.max_removed = 1;
 }
 
-void PrefixAffinity::Remove(const std::string& engine, std::uint64_t prefix) {
+void PrefixAffinity::RemoveHolder(const std::string& engine,
+                                  std::uint64_t prefix) {
   const auto found = holders_.find(prefix);
   if (found == holders_.end()) {
     return;
--- a/packages/decision/src/server_table.cc
+++ b/packages/decision/src/server_table.cc
@@ -8,31 +8,32 @@
 namespace gentianroute {
 namespace {
 
-constexpr std::size_t kChoices = 2;
-constexpr std::size_t kDraws = 8;
+constexpr std::size_t kSampleSize = 2;
+constexpr std::size_t kMaxRandomDraws = 8;
 /// Free servers looked at, at most, when draws keep failing.
-constexpr std::size_t kScanned = 16;
-constexpr double kAverageWeight = 0.1;
-constexpr double kReportWeight = 0.1;
+constexpr std::size_t kMaxScannedServers = 16;
+constexpr double kServiceTimeSmoothing = 0.1;
+constexpr double kLoadReportSmoothing = 0.1;
 /// Share of the service time that a cached prefix saves.
-constexpr double kPrefixGain = 0.4;
+constexpr double kCachedPrefixSaving = 0.4;
 /// A far server is looked at only if the best near one would take more than
 /// this share of the time that is left.
-constexpr double kComfort = 0.5;
+constexpr double kCrossRegionDeadlineShare = 0.5;
 /// Expected times, of all stages to come, that must be left for a thrifty call
 /// to wait for a near server instead of paying for a far one. Measured by the
 /// stage alone, a short first stage would wait away the time of the later ones.
 /// The wait of the line counts too: a backlog that near servers can't work off
 /// in time has to move while far ones are still idle.
-constexpr double kPatience = 12;
+constexpr double kNearWaitStageTimes = 12;
 /// Seconds that a micro-euro of transfer is worth, by objective.
 constexpr std::array<double, 2> kSecondsPerMicroEuro = {0.00001, 0.001};
 
 /// Takes a late report into the average of the other daemons' calls.
-void NoteLoad(Server& server, std::uint32_t load) {
+void UpdateExternalLoad(Server& server, std::uint32_t load) {
   const double others =
       static_cast<double>(load) - static_cast<double>(server.in_flight);
-  server.others_load += kReportWeight * (others - server.others_load);
+  server.external_load +=
+      kLoadReportSmoothing * (others - server.external_load);
 }
 
 }  // namespace
@@ -42,7 +43,7 @@
 
 bool ServerTable::ApplyHostList(TimePoint /*now*/,
                                 std::span<const HostRecord> hosts) {
-  bool gained = false;
+  bool has_new_server = false;
   for (auto& [name, server] : servers_) {
     server->listed = false;
   }
@@ -57,11 +58,11 @@
         continue;
       }
       slot = new Server();
-      gained = true;
+      has_new_server = true;
     }
     slot->host = host;
     slot->listed = true;
-    NoteLoad(*slot, host.load);
+    UpdateExternalLoad(*slot, host.load);
     if (host.leaving) {
       leaving_.insert({host.name, host.incarnation});
     }
@@ -70,11 +71,11 @@
   std::erase_if(servers_, [](const auto& item) {
     return !item.second->listed && item.second->in_flight == 0;
   });
-  Rebuild();
-  return gained;
+  RebuildIndex();
+  return has_new_server;
 }
 
-void ServerTable::Rebuild() {
+void ServerTable::RebuildIndex() {
   for (auto& [name, pool] : pools_) {
     for (Tier& tier : pool.tiers) {
       for (const ServerRef& server : tier.free) {
@@ -84,8 +85,8 @@
   }
   pools_.clear();
   for (const auto& [name, server] : servers_) {
-    server->counted = false;
-    Refresh(*server);
+    server->counted_as_accepting = false;
+    UpdateIndex(*server);
   }
 }
 
@@ -96,11 +97,11 @@
   if (found != servers_.end() &&
       found->second->host.incarnation == incarnation) {
     found->second->leaving = true;
-    Refresh(*found->second);
+    UpdateIndex(*found->second);
   }
 }
 
-void ServerTable::ForgetLeaving(std::string_view server,
+void ServerTable::RemoveLeaving(std::string_view server,
                                 std::uint64_t incarnation) {
   leaving_.erase({std::string(server), incarnation});
 }
@@ -109,8 +110,8 @@
                                Server& server,
                                std::uint32_t load) {
   server.host.load = load;
-  NoteLoad(server, load);
-  Refresh(server);
+  UpdateExternalLoad(server, load);
+  UpdateIndex(server);
 }
 
 std::size_t ServerTable::TierOf(const Server& server) const {
@@ -120,13 +121,13 @@
   return server.host.region == options_.region ? 1 : 2;
 }
 
-void ServerTable::Refresh(Server& server) {
+void ServerTable::UpdateIndex(Server& server) {
   Tier& tier = pools_[server.host.pool].tiers[TierOf(server)];
-  if (server.counted != server.Accepts()) {
-    server.counted = server.Accepts();
-    tier.accepting += server.counted ? 1 : std::size_t(-1);
+  if (server.counted_as_accepting != server.IsAccepting()) {
+    server.counted_as_accepting = server.IsAccepting();
+    tier.accepting += server.counted_as_accepting ? 1 : std::size_t(-1);
   }
-  const bool free = server.Accepts() && server.HasFreeSlot();
+  const bool free = server.IsAccepting() && server.HasFreeSlot();
   const bool listed = server.free_index != Server::kNotFree;
   if (free == listed) {
     return;
@@ -145,10 +146,9 @@
   }
 }
 
-bool ServerTable::MayTake(const Server& server,
-                          const Question& question) const {
-  const PickContext& context = question.context;
-  if (question.in_favour_only && question.now < server.out_of_favour_until) {
+bool ServerTable::CanTake(const Server& server, const Query& query) const {
+  const PickContext& context = query.context;
+  if (query.exclude_ejected && query.now < server.ejected_until) {
     return false;
   }
   if (!context.cross_region && server.host.region != options_.region) {
@@ -161,25 +161,26 @@
   if (too_slow && server.in_flight > 0) {
     return false;
   }
-  return std::ranges::find(context.avoid, &server, &ServerRef::get) ==
-         context.avoid.end();
+  return std::ranges::find(context.excluded, &server, &ServerRef::get) ==
+         context.excluded.end();
 }
 
 ServerRef ServerTable::Pick(TimePoint now,
                             const PickContext& context,
                             Rng& rng) {
-  static constexpr std::array<Choose, 3> kChooses = {
+  static constexpr std::array<ChooseFunction, 3> kChooseFunctions = {
       &ServerTable::ChoosePredicted, &ServerTable::ChooseRandom,
       &ServerTable::ChooseLeastReported};
   const auto pool = pools_.find(context.pool);
   if (pool == pools_.end()) {
     return nullptr;
   }
-  const Choose choose = kChooses[static_cast<std::size_t>(options_.policy)];
-  for (const bool in_favour_only : {true, false}) {
+  const ChooseFunction choose =
+      kChooseFunctions[static_cast<std::size_t>(options_.policy)];
+  for (const bool exclude_ejected : {true, false}) {
     ServerRef server =
-        (this->*choose)(pool->second, {now, context, in_favour_only}, rng);
-    if (server != nullptr || context.in_favour_only) {
+        (this->*choose)(pool->second, {now, context, exclude_ejected}, rng);
+    if (server != nullptr || context.exclude_ejected) {
       return server;
     }
   }
@@ -188,11 +189,11 @@
 
 ServerRef ServerTable::LeastBusy(TimePoint now,
                                  const PickContext& context) const {
-  const Question question{now, context, true};
+  const Query query{now, context, true};
   ServerRef best;
   for (const auto& [name, server] : servers_) {
-    if (server->host.pool == context.pool && server->Accepts() &&
-        MayTake(*server, question) &&
+    if (server->host.pool == context.pool && server->IsAccepting() &&
+        CanTake(*server, query) &&
         (best == nullptr || server->in_flight < best->in_flight)) {
       best = server;
     }
@@ -201,88 +202,92 @@
 }
 
 ServerRef ServerTable::ChoosePredicted(const Pool& pool,
-                                       const Question& question,
+                                       const Query& query,
                                        Rng& rng) const {
-  Choice best;
-  ConsiderHolders(question, best);
+  Candidate best;
+  ConsiderPrefixHolders(query, best);
   for (std::size_t i = 0; i < kTiers; ++i) {
     const bool far = i + 1 == kTiers;
-    if (far && (best.score < kComfort * Seconds(question.context.remaining) ||
-                MayWaitForNearer(pool, question.context))) {
+    if (far && (best.score < kCrossRegionDeadlineShare *
+                                 Seconds(query.context.remaining) ||
+                CanWaitForNearServer(pool, query.context))) {
       break;
     }
-    ConsiderTwo(pool.tiers[i], question, rng, best);
+    ConsiderSample(pool.tiers[i], query, rng, best);
   }
   return best.server;
 }
 
-bool ServerTable::MayWaitForNearer(const Pool& pool,
-                                   const PickContext& context) {
+bool ServerTable::CanWaitForNearServer(const Pool& pool,
+                                       const PickContext& context) {
   const bool near = pool.tiers[0].accepting + pool.tiers[1].accepting > 0;
-  const Duration rest = std::max(context.expected, context.expected_rest);
+  const Duration rest = std::max(context.expected, context.expected_remaining);
   return near && context.objective == Objective::kCost &&
-         Seconds(context.remaining - context.line) > kPatience * Seconds(rest);
+         Seconds(context.remaining - context.queue_wait) >
+             kNearWaitStageTimes * Seconds(rest);
 }
 
-void ServerTable::ConsiderHolders(const Question& question,
-                                  Choice& best) const {
-  if (caches_ == nullptr || question.context.prefix == 0) {
+void ServerTable::ConsiderPrefixHolders(const Query& query,
+                                        Candidate& best) const {
+  if (prefix_affinity_ == nullptr || query.context.prefix == 0) {
     return;
   }
-  for (const std::string& name : caches_->Holders(question.context.prefix)) {
+  for (const std::string& name :
+       prefix_affinity_->Holders(query.context.prefix)) {
     const auto found = servers_.find(name);
     if (found == servers_.end()) {
       continue;
     }
     const ServerRef& server = found->second;
-    if (server->host.pool == question.context.pool &&
-        server->free_index != Server::kNotFree && MayTake(*server, question)) {
-      Consider(server, question, best);
+    if (server->host.pool == query.context.pool &&
+        server->free_index != Server::kNotFree && CanTake(*server, query)) {
+      Consider(server, query, best);
     }
   }
 }
 
-void ServerTable::ConsiderTwo(const Tier& tier,
-                              const Question& question,
-                              Rng& rng,
-                              Choice& best) const {
+void ServerTable::ConsiderSample(const Tier& tier,
+                                 const Query& query,
+                                 Rng& rng,
+                                 Candidate& best) const {
   const std::size_t count = tier.free.size();
   if (count == 0) {
     return;
   }
   const std::size_t offset = rng() % count;
-  const std::size_t steps = kDraws + std::min(count, kScanned);
+  const std::size_t steps =
+      kMaxRandomDraws + std::min(count, kMaxScannedServers);
   std::size_t seen = 0;
   const Server* last = nullptr;
-  for (std::size_t step = 0; step < steps && seen < kChoices; ++step) {
+  for (std::size_t step = 0; step < steps && seen < kSampleSize; ++step) {
     const std::size_t index =
-        step < kDraws ? rng() % count : (offset + step) % count;
+        step < kMaxRandomDraws ? rng() % count : (offset + step) % count;
     const ServerRef& server = tier.free[index];
-    if (server.get() == last || !MayTake(*server, question)) {
+    if (server.get() == last || !CanTake(*server, query)) {
       continue;
     }
     last = server.get();
     ++seen;
-    Consider(server, question, best);
+    Consider(server, query, best);
   }
 }
 
 void ServerTable::Consider(const ServerRef& server,
-                           const Question& question,
-                           Choice& best) const {
-  const double score = PredictedSeconds(*server, question.context);
+                           const Query& query,
+                           Candidate& best) const {
+  const double score = PredictedSeconds(*server, query.context);
   if (score < best.score) {
     best = {server, score};
   }
 }
 
 ServerRef ServerTable::ChooseRandom(const Pool& pool,
-                                    const Question& question,
+                                    const Query& query,
                                     Rng& rng) const {
   std::vector<ServerRef> able;
   for (const Tier& tier : pool.tiers) {
     for (const ServerRef& server : tier.free) {
-      if (MayTake(*server, question)) {
+      if (CanTake(*server, query)) {
         able.push_back(server);
       }
     }
@@ -291,12 +296,12 @@
 }
 
 ServerRef ServerTable::ChooseLeastReported(const Pool& pool,
-                                           const Question& question,
+                                           const Query& query,
                                            Rng& /*rng*/) const {
   ServerRef best;
   for (const Tier& tier : pool.tiers) {
     for (const ServerRef& server : tier.free) {
-      if (MayTake(*server, question) &&
+      if (CanTake(*server, query) &&
           (best == nullptr || server->host.load < best->host.load)) {
         best = server;
       }
@@ -311,9 +316,9 @@
   const PathCost cost = path == paths_.end() ? PathCost{} : path->second;
   double service = server.service_seconds > 0 ? server.service_seconds
                                               : Seconds(context.expected);
-  if (caches_ != nullptr && context.prefix != 0 &&
-      caches_->Holds(server.host.name, context.prefix)) {
-    service *= 1 - kPrefixGain;
+  if (prefix_affinity_ != nullptr && context.prefix != 0 &&
+      prefix_affinity_->Holds(server.host.name, context.prefix)) {
+    service *= 1 - kCachedPrefixSaving;
   }
   const double queueing =
       server.PredictedLoad() / std::max(1U, server.host.slots) * service;
@@ -335,19 +340,19 @@
 void ServerTable::OnStart(Server& server) {
   ++server.in_flight;
   ++server.calls;
-  Refresh(server);
+  UpdateIndex(server);
 }
 
 void ServerTable::OnSuccess(TimePoint /*now*/, Server& server, Duration took) {
   OnCancelled(server);
   server.consecutive_failures = 0;
-  server.out_of_favour_until = {};
+  server.ejected_until = {};
   const double seconds = Seconds(took);
   server.service_seconds =
       server.service_seconds == 0
           ? seconds
           : server.service_seconds +
-                kAverageWeight * (seconds - server.service_seconds);
+                kServiceTimeSmoothing * (seconds - server.service_seconds);
 }
 
 void ServerTable::OnFailure(TimePoint now, Server& server, bool unreachable) {
@@ -356,23 +361,23 @@
   ++server.consecutive_failures;
   if (unreachable) {
     // A dead server has nothing in flight and so draws call after call.
-    server.consecutive_failures =
-        std::max(server.consecutive_failures, options_.failures_out_of_favour);
+    server.consecutive_failures = std::max(server.consecutive_failures,
+                                           options_.failures_before_ejection);
   }
-  if (server.consecutive_failures < options_.failures_out_of_favour) {
+  if (server.consecutive_failures < options_.failures_before_ejection) {
     return;
   }
   const std::uint32_t beyond = std::min(
-      server.consecutive_failures - options_.failures_out_of_favour, 8U);
-  server.out_of_favour_until =
-      now + std::min(options_.out_of_favour * (1 << beyond),
-                     options_.longest_out_of_favour);
+      server.consecutive_failures - options_.failures_before_ejection, 8U);
+  server.ejected_until =
+      now + std::min(options_.ejection_duration * (1 << beyond),
+                     options_.max_ejection_duration);
 }
 
 void ServerTable::OnCancelled(Server& server) {
   GR_INVARIANT(server.in_flight > 0);
   --server.in_flight;
-  Refresh(server);
+  UpdateIndex(server);
 }
 
 }  // namespace gentianroute
--- a/packages/decision/src/suspect_table.cc
+++ b/packages/decision/src/suspect_table.cc
@@ -13,94 +13,97 @@
     Sweep(now);
   }
   const bool alone = in_flight.size() == 1;
-  std::set<Fingerprint>& open =
-      open_.try_emplace(std::string(server)).first->second;
+  std::set<Fingerprint>& unconfirmed =
+      unconfirmed_.try_emplace(std::string(server)).first->second;
   for (const Fingerprint fingerprint : in_flight) {
     Entry& entry = entries_[fingerprint];
     if (now >= entry.suspect_until) {
       entry.crashes.clear();
     }
     entry.crashes.push_back({std::string(server), incarnation, now, alone});
-    entry.suspect_until = now + options_.suspicion;
-    open.insert(fingerprint);
+    entry.suspect_until = now + options_.suspect_duration;
+    unconfirmed.insert(fingerprint);
   }
 }
 
 void SuspectTable::OnServerDown(TimePoint now, std::string_view server) {
-  Confirm(now, server, std::numeric_limits<std::uint64_t>::max());
+  ConfirmCrashes(now, server, std::numeric_limits<std::uint64_t>::max());
 }
 
 void SuspectTable::OnIncarnation(TimePoint now,
                                  std::string_view server,
                                  std::uint64_t incarnation) {
-  Confirm(now, server, incarnation);
+  ConfirmCrashes(now, server, incarnation);
 }
 
-void SuspectTable::Confirm(TimePoint now,
-                           std::string_view server,
-                           std::uint64_t before_incarnation) {
-  const auto open = open_.find(server);
-  if (open == open_.end()) {
+void SuspectTable::ConfirmCrashes(TimePoint now,
+                                  std::string_view server,
+                                  std::uint64_t before_incarnation) {
+  const auto unconfirmed = unconfirmed_.find(server);
+  if (unconfirmed == unconfirmed_.end()) {
     return;
   }
-  for (const Fingerprint fingerprint : open->second) {
+  for (const Fingerprint fingerprint : unconfirmed->second) {
     Entry& entry = entries_[fingerprint];
     for (Crash& crash : entry.crashes) {
-      crash.confirmed |= crash.server == server && IsOpen(now, crash) &&
+      crash.confirmed |= crash.server == server && IsUnconfirmed(now, crash) &&
                          crash.incarnation < before_incarnation;
     }
-    if (Enough(now, entry, true)) {
-      entry.quarantined_until = now + options_.quarantine;
+    if (HasEnoughCrashes(now, entry, true)) {
+      entry.quarantined_until = now + options_.quarantine_duration;
     }
   }
-  std::erase_if(open->second, [&](Fingerprint fingerprint) {
+  std::erase_if(unconfirmed->second, [&](Fingerprint fingerprint) {
     return std::ranges::none_of(
         entries_[fingerprint].crashes, [&](const Crash& crash) {
-          return crash.server == server && IsOpen(now, crash);
+          return crash.server == server && IsUnconfirmed(now, crash);
         });
   });
-  if (open->second.empty()) {
-    open_.erase(open);
+  if (unconfirmed->second.empty()) {
+    unconfirmed_.erase(unconfirmed);
   }
 }
 
 void SuspectTable::OnServerAlive(TimePoint now, std::string_view server) {
-  const auto open = open_.find(server);
-  if (open == open_.end()) {
+  const auto unconfirmed = unconfirmed_.find(server);
+  if (unconfirmed == unconfirmed_.end()) {
     return;
   }
-  for (const Fingerprint fingerprint : open->second) {
+  for (const Fingerprint fingerprint : unconfirmed->second) {
     Entry& entry = entries_[fingerprint];
     std::erase_if(entry.crashes, [&](const Crash& crash) {
-      return crash.server == server && IsOpen(now, crash);
+      return crash.server == server && IsUnconfirmed(now, crash);
     });
     if (entry.crashes.empty() && entry.quarantined_until == TimePoint{}) {
       entries_.erase(fingerprint);
     }
   }
-  open_.erase(open);
+  unconfirmed_.erase(unconfirmed);
 }
 
-bool SuspectTable::Enough(TimePoint now,
-                          const Entry& entry,
-                          bool confirmed_only) const {
+bool SuspectTable::HasEnoughCrashes(TimePoint now,
+                                    const Entry& entry,
+                                    bool confirmed_only) const {
   // A crash with others in flight is weaker evidence: any of them may be to
   // blame, and an innocent one is answered and cleared at its next run.
   std::uint32_t count = 0;
   bool alone = false;
   for (const Crash& crash : entry.crashes) {
-    if (crash.confirmed || (!confirmed_only && IsOpen(now, crash))) {
+    if (crash.confirmed || (!confirmed_only && IsUnconfirmed(now, crash))) {
       ++count;
       alone = crash.alone;  // of the last one that counts
     }
   }
-  return count >= (alone ? options_.crashes_alone : options_.crashes_together);
+  return count >= (alone ? options_.sole_crash_threshold
+                         : options_.shared_crash_threshold);
 }
 
-bool SuspectTable::IsAccused(TimePoint now, Fingerprint fingerprint) const {
+bool SuspectTable::IsQuarantinePending(TimePoint now,
+                                       Fingerprint fingerprint) const {
   const auto found = entries_.find(fingerprint);
-  return found != entries_.end() && Enough(now, found->second, false) &&
-         !Enough(now, found->second, true);
+  return found != entries_.end() &&
+         HasEnoughCrashes(now, found->second, false) &&
+         !HasEnoughCrashes(now, found->second, true);
 }
 
 void SuspectTable::OnAnswered(Fingerprint fingerprint) {
--- a/packages/decision/src/usage_ledger.cc
+++ b/packages/decision/src/usage_ledger.cc
@@ -9,7 +9,7 @@
 /// Half-lives after which the scale is reset, far from the end of a double.
 constexpr double kMaxExponent = 400.0;
 constexpr char kSeparator = '\x1f';
-constexpr double kKeepOnSweep = 0.75;
+constexpr double kSweepKeepRatio = 0.75;
 
 std::string MapKey(std::string_view organisation, std::string_view subscriber) {
   std::string key(organisation);
@@ -41,8 +41,8 @@
 UsageLedger::Record& UsageLedger::Find(std::string_view organisation,
                                        std::string_view subscriber) {
   Record& record = records_[MapKey(organisation, subscriber)];
-  if (record.who.organisation.empty()) {
-    record.who = {std::string(organisation), std::string(subscriber)};
+  if (record.name.organisation.empty()) {
+    record.name = {std::string(organisation), std::string(subscriber)};
   }
   return record;
 }
@@ -53,26 +53,26 @@
                          double cost) {
   RebaseIfNeeded(now);
   const double scaled = cost * Scale(now);
-  Record& whole = Find(organisation, {});
-  whole.local = std::max(0.0, whole.local + scaled);
+  Record& organisation_record = Find(organisation, {});
+  organisation_record.local = std::max(0.0, organisation_record.local + scaled);
   if (!subscriber.empty()) {
-    Record& part = Find(organisation, subscriber);
-    part.local = std::max(0.0, part.local + scaled);
+    Record& subscriber_record = Find(organisation, subscriber);
+    subscriber_record.local = std::max(0.0, subscriber_record.local + scaled);
   }
   SweepIfNeeded();
 }
 
 void UsageLedger::SetRemote(TimePoint now,
                             std::string_view peer,
-                            const std::vector<UseRecord>& heaviest) {
+                            const std::vector<UsageRecord>& heaviest) {
   RebaseIfNeeded(now);
   DropRemote(peer);
   const double scale = Scale(now);
-  std::vector<UseRecord>& kept = remote_[std::string(peer)];
-  for (const UseRecord& use : heaviest) {
+  std::vector<UsageRecord>& kept = remote_[std::string(peer)];
+  for (const UsageRecord& use : heaviest) {
     const double scaled = use.cost * scale;
-    Find(use.who.organisation, use.who.subscriber).remote += scaled;
-    kept.push_back({use.who, scaled});
+    Find(use.name.organisation, use.name.subscriber).remote += scaled;
+    kept.push_back({use.name, scaled});
   }
   SweepIfNeeded();
 }
@@ -82,8 +82,8 @@
   if (found == remote_.end()) {
     return;
   }
-  for (const UseRecord& use : found->second) {
-    Record& record = Find(use.who.organisation, use.who.subscriber);
+  for (const UsageRecord& use : found->second) {
+    Record& record = Find(use.name.organisation, use.name.subscriber);
     record.remote = std::max(0.0, record.remote - use.cost);
   }
   remote_.erase(found);
@@ -107,20 +107,20 @@
   return Rank(organisation, subscriber);
 }
 
-std::vector<UseRecord> UsageLedger::Heaviest(TimePoint now,
-                                             std::size_t limit) const {
-  std::vector<UseRecord> heaviest;
+std::vector<UsageRecord> UsageLedger::Heaviest(TimePoint now,
+                                               std::size_t limit) const {
+  std::vector<UsageRecord> heaviest;
   heaviest.reserve(records_.size());
   const double scale = Scale(now);
   for (const auto& [key, record] : records_) {
     if (record.local > 0) {
-      heaviest.push_back({record.who, record.local / scale});
+      heaviest.push_back({record.name, record.local / scale});
     }
   }
   const auto middle = heaviest.begin() + static_cast<std::ptrdiff_t>(
                                              std::min(limit, heaviest.size()));
   std::partial_sort(heaviest.begin(), middle, heaviest.end(),
-                    [](const UseRecord& left, const UseRecord& right) {
+                    [](const UsageRecord& left, const UsageRecord& right) {
                       return left.cost > right.cost;
                     });
   heaviest.erase(middle, heaviest.end());
@@ -137,7 +137,7 @@
     ranks.push_back(record.local + record.remote);
   }
   const auto drop = static_cast<std::ptrdiff_t>(
-      static_cast<double>(ranks.size()) * (1.0 - kKeepOnSweep));
+      static_cast<double>(ranks.size()) * (1.0 - kSweepKeepRatio));
   std::nth_element(ranks.begin(), ranks.begin() + drop, ranks.end());
   const double threshold = ranks[static_cast<std::size_t>(drop)];
   // Many records may rank alike; leaving all of those in place would let the
--- a/packages/decision/tests/leaving_news_test.cc
+++ b/packages/decision/tests/leaving_news_test.cc
@@ -53,8 +53,8 @@
  private:
   void Exchange(std::size_t daemon) {
     const std::size_t peer = rng_() % news_.size();
-    const auto mine = news_[daemon].ForDigest(At(0));
-    const auto yours = news_[peer].ForDigest(At(0));
+    const auto mine = news_[daemon].SelectForDigest(At(0));
+    const auto yours = news_[peer].SelectForDigest(At(0));
     for (const LeavingServer& server : mine) {
       Learn(peer, server);
     }
@@ -97,7 +97,7 @@
   }
   std::set<LeavingServer> heard;
   for (int round = 0; round < 50; ++round) {
-    const auto digest = news.ForDigest(At(0));
+    const auto digest = news.SelectForDigest(At(0));
     cr_assert_eq(digest.size(), 8);
     heard.insert(digest.begin(), digest.end());
   }
@@ -127,7 +127,7 @@
   news.OnHostList(At(0), {});
   news.Add({"s", 1});
   news.OnHostList(At(1), {});
-  cr_assert(news.ForDigest(At(1)).empty());
+  cr_assert(news.SelectForDigest(At(1)).empty());
   cr_assert_eq(news.size(), 1);
   cr_assert_eq(news.OnHostList(At(11), {}).size(), 1);
 }
--- a/packages/decision/tests/poll_schedule_test.cc
+++ b/packages/decision/tests/poll_schedule_test.cc
@@ -28,7 +28,7 @@
   for (const std::string& name : names) {
     PollSchedule schedule({name});
     schedule.SetPeers(names);
-    pollers += schedule.poller() ? 1 : 0;
+    pollers += schedule.is_poller() ? 1 : 0;
   }
   cr_assert_eq(pollers, 3);
 }
@@ -42,14 +42,14 @@
   for (const std::string& name : names) {
     PollSchedule schedule({name});
     schedule.SetPeers(names);
-    if (schedule.poller()) {
+    if (schedule.is_poller()) {
       continue;
     }
-    schedule.OnHeard(TimePoint{}, seconds(0));
-    cr_assert(!schedule.Due(TimePoint{} + seconds(3)));
+    schedule.OnPeerReadAge(TimePoint{}, seconds(0));
+    cr_assert(!schedule.IsPollDue(TimePoint{} + seconds(3)));
     int own = 0;
     for (int second = 4; second < 24; ++second) {
-      own += schedule.Due(TimePoint{} + seconds(second)) ? 1 : 0;
+      own += schedule.IsPollDue(TimePoint{} + seconds(second)) ? 1 : 0;
     }
     cr_assert(own >= 2 && own <= 5);
     polls += own;
--- a/packages/decision/tests/prefix_affinity_test.cc
+++ b/packages/decision/tests/prefix_affinity_test.cc
@@ -63,6 +63,6 @@
   cr_assert(caches.OnEvent({"e", 2, 1, kOne, kTwo}));
   cr_assert_not(caches.Holds("e", 1));
   cr_assert(caches.Holds("e", 2));
-  caches.Forget("e");
+  caches.RemoveEngine("e");
   cr_assert(caches.Holders(2).empty());
 }
--- a/packages/decision/tests/server_table_test.cc
+++ b/packages/decision/tests/server_table_test.cc
@@ -108,9 +108,9 @@
   bench.context.remaining = milliseconds(300);
   cr_assert_eq(bench.Pick(), "b");
   bench.context.remaining = seconds(6);
-  bench.context.line = seconds(5);
+  bench.context.queue_wait = seconds(5);
   cr_assert_eq(bench.Pick(), "b", "near servers can't work off the backlog");
-  bench.context.line = {};
+  bench.context.queue_wait = {};
   cr_assert_eq(bench.Pick(), "");
   bench.table.MarkLeaving("a", 1);
   cr_assert_eq(bench.Pick(), "b", "no near server is left to wait for");
--- a/packages/decision/tests/usage_ledger_test.cc
+++ b/packages/decision/tests/usage_ledger_test.cc
@@ -67,8 +67,8 @@
   UsageLedger ledger;
   ledger.SetRemote(kStart, "peer", {{{"remote", ""}, 50}});
   ledger.Charge(kStart, "local", "s", 1);
-  for (const UseRecord& use : ledger.Heaviest(kStart, 10)) {
-    cr_assert_eq(use.who.organisation, "local");
+  for (const UsageRecord& use : ledger.Heaviest(kStart, 10)) {
+    cr_assert_eq(use.name.organisation, "local");
   }
 }
 
--- a/packages/entry/include/gentianroute/entry/report.h
+++ b/packages/entry/include/gentianroute/entry/report.h
@@ -24,7 +24,7 @@
 /// @brief Every known server, with its load and what calls to it came to.
 nlohmann::json ServersReport(const ServerTable& servers, TimePoint now);
 
-nlohmann::json HeaviestReport(const std::vector<UseRecord>& heaviest);
+nlohmann::json HeaviestReport(const std::vector<UsageRecord>& heaviest);
 
 }  // namespace gentianroute
 
--- a/packages/entry/src/cache_sync.cc
+++ b/packages/entry/src/cache_sync.cc
@@ -91,14 +91,14 @@
     if (item.second.asking) {
       client_.Cancel(item.second.call);
     }
-    caches_.Forget(item.first);
+    caches_.RemoveEngine(item.first);
     return true;
   });
 }
 
 bool CacheSync::IsFollowed(const Server& server,
                            const std::set<std::string>& pools) const {
-  return server.host.data_centre == data_centre_ && server.Accepts() &&
+  return server.host.data_centre == data_centre_ && server.IsAccepting() &&
          pools.contains(server.host.pool);
 }
 
@@ -139,7 +139,7 @@
     TakeIn(name, found->second, result.body);
   } catch (const json::exception&) {
     // Not this protocol: what is believed of the cache can't be kept current.
-    caches_.Forget(name);
+    caches_.RemoveEngine(name);
     found->second = {};
   }
 }
@@ -152,7 +152,7 @@
   if (incarnation != engine.incarnation) {
     // Restarted: its numbers begin again, and its cache is empty. Asked for
     // what follows an old number it would leave out all that came before.
-    caches_.Forget(name);
+    caches_.RemoveEngine(name);
     const bool from_start = engine.sequence == 0;
     engine.incarnation = incarnation;
     engine.sequence = 0;
--- a/packages/entry/src/daemon.cc
+++ b/packages/entry/src/daemon.cc
@@ -226,7 +226,7 @@
 }
 
 void Daemon::PollConfig() {
-  if (!poll_schedule_.Due(loop_.Now())) {
+  if (!poll_schedule_.IsPollDue(loop_.Now())) {
     return;
   }
   config_sync_.Poll([this](bool answered) {
@@ -245,7 +245,7 @@
   order_sync_.SetHosts(backends);
   servers_.ApplyHostList(loop_.Now(), backends);
   for (const auto& gone : leaving_news_.OnHostList(loop_.Now(), backends)) {
-    servers_.ForgetLeaving(gone.server, gone.incarnation);
+    servers_.RemoveLeaving(gone.server, gone.incarnation);
   }
   peer_service_.NoteLeaving();
   coordinator_.OnServersChanged(loop_.Now());
@@ -310,7 +310,7 @@
       {"ready", Ready()},
       {"draining", draining_},
       {"revision", follower_.revision()},
-      {"highest_heard", follower_.highest_heard()},
+      {"highest_heard", follower_.highest_seen()},
       {"active", coordinator_.active()},
       {"queued", coordinator_.queued()},
       {"peers", peers_->peer_count()},
--- a/packages/entry/src/order_sync.cc
+++ b/packages/entry/src/order_sync.cc
@@ -41,7 +41,7 @@
   LeaseKeeper::Options lease;
   lease.pool = pool.name;
   lease.holder = options.daemon + "/" + std::to_string(options.incarnation);
-  lease.longest_order = pool.fenced ? Duration{0} : kLongestOrder;
+  lease.max_order_delay = pool.fenced ? Duration{0} : kLongestOrder;
   return lease;
 }
 
@@ -54,7 +54,7 @@
       : name(spec.name),
         fenced(spec.fenced),
         lease(LeaseOptions(options, spec), codec),
-        orders({.longest_order = kLongestOrder}) {}
+        orders({.max_order_delay = kLongestOrder}) {}
 
   std::string name;
   bool fenced;
@@ -78,7 +78,7 @@
         call_(std::move(call)) {}
 
   void OnWriting() override {
-    if (!pool_->orders.MayWrite(owner_.loop_.Now(), pool_->lease, order_)) {
+    if (!pool_->orders.CanWrite(owner_.loop_.Now(), pool_->lease, order_)) {
       owner_.client_.Cancel(*call_);
     }
   }
@@ -180,10 +180,10 @@
   const bool candidate = RendezvousRank(pool->name, options_.daemon, daemons_) <
                          options_.candidates;
   const bool holds_on =
-      pool->lease.held() && (candidate || pool->orders.InFlight(now));
+      pool->lease.held() && (candidate || pool->orders.HasOrderInFlight(now));
   const bool takes = candidate && !draining_ && pool->declared;
   const bool ends =
-      (draining_ || !pool->declared) && !pool->orders.InFlight(now);
+      (draining_ || !pool->declared) && !pool->orders.HasOrderInFlight(now);
   switch (pool->lease.Advance(now, takes || (holds_on && !ends))) {
     case LeaseKeeper::Step::kNone:
       return;
--- a/packages/entry/src/peer_service.cc
+++ b/packages/entry/src/peer_service.cc
@@ -52,15 +52,16 @@
   digest.setRevision(parts_.follower.revision());
   digest.setDraining(draining_);
   digest.setStoreAgeMs(StoreAgeMs(parts_.poll_schedule.Age(now)));
-  const std::vector<UseRecord> heavy =
+  const std::vector<UsageRecord> heavy =
       parts_.usage.Heaviest(now, kHeavyInDigest);
   auto heavy_list = digest.initHeavy(static_cast<unsigned>(heavy.size()));
   for (unsigned i = 0; i < heavy_list.size(); ++i) {
-    heavy_list[i].setOrganisation(heavy[i].who.organisation);
-    heavy_list[i].setSubscriber(heavy[i].who.subscriber);
+    heavy_list[i].setOrganisation(heavy[i].name.organisation);
+    heavy_list[i].setSubscriber(heavy[i].name.subscriber);
     heavy_list[i].setCost(heavy[i].cost);
   }
-  const std::vector<LeavingServer> news = parts_.leaving_news.ForDigest(now);
+  const std::vector<LeavingServer> news =
+      parts_.leaving_news.SelectForDigest(now);
   auto leaving = digest.initLeaving(static_cast<unsigned>(news.size()));
   for (unsigned i = 0; i < leaving.size(); ++i) {
     leaving[i].setServer(news[i].server);
@@ -81,7 +82,7 @@
 
 void PeerService::OnDigest(schema::Digest::Reader digest) {
   const TimePoint now = loop_.Now();
-  std::vector<UseRecord> heavy;
+  std::vector<UsageRecord> heavy;
   for (const auto use : digest.getHeavy()) {
     heavy.push_back({{use.getOrganisation().cStr(), use.getSubscriber().cStr()},
                      use.getCost()});
@@ -100,9 +101,10 @@
                                      milliseconds(quarantine.getRemainingMs()));
   }
   if (digest.getStoreAgeMs() != kNeverRead) {
-    parts_.poll_schedule.OnHeard(now, milliseconds(digest.getStoreAgeMs()));
+    parts_.poll_schedule.OnPeerReadAge(now,
+                                       milliseconds(digest.getStoreAgeMs()));
   }
-  parts_.follower.Heard(digest.getRevision());
+  parts_.follower.OnRevisionSeen(digest.getRevision());
   if (digest.getRevision() > parts_.follower.revision()) {
     links_->FetchRevisions(peer, parts_.follower.revision());
   }
--- a/packages/entry/src/report.cc
+++ b/packages/entry/src/report.cc
@@ -20,11 +20,11 @@
   if (!server.listed) {
     return "missing from the host list";
   }
-  if (now < server.out_of_favour_until) {
+  if (now < server.ejected_until) {
     return std::to_string(server.consecutive_failures) +
            " failures in a row, tried again in " +
            std::to_string(static_cast<std::int64_t>(
-               Milliseconds(server.out_of_favour_until - now))) +
+               Milliseconds(server.ejected_until - now))) +
            " ms";
   }
   return {};
@@ -79,11 +79,11 @@
   return list;
 }
 
-json HeaviestReport(const std::vector<UseRecord>& heaviest) {
+json HeaviestReport(const std::vector<UsageRecord>& heaviest) {
   json list = json::array();
-  for (const UseRecord& use : heaviest) {
-    list.push_back({{"organisation", use.who.organisation},
-                    {"subscriber", use.who.subscriber},
+  for (const UsageRecord& use : heaviest) {
+    list.push_back({{"organisation", use.name.organisation},
+                    {"subscriber", use.name.subscriber},
                     {"cost", use.cost}});
   }
   return list;
@@ -95,11 +95,11 @@
     rows.push_back({{"name", name},
                     {"pool", server->host.pool},
                     {"data_centre", server->host.data_centre},
-                    {"accepts", server->Accepts()},
+                    {"accepts", server->IsAccepting()},
                     {"leaving", server->leaving},
                     {"in_flight", server->in_flight},
                     {"load", server->host.load},
-                    {"out_of_favour", now < server->out_of_favour_until},
+                    {"out_of_favour", now < server->ejected_until},
                     {"calls", server->calls},
                     {"failures", server->failures}});
   }
--- a/packages/gateway/src/request_flow.cc
+++ b/packages/gateway/src/request_flow.cc
@@ -88,7 +88,7 @@
                                exchange_->head().target, exchange_->body());
   const TimePoint now = services_.loop.Now();
   if (services_.suspects.IsQuarantined(now, fingerprint_) ||
-      services_.suspects.IsAccused(now, fingerprint_)) {
+      services_.suspects.IsQuarantinePending(now, fingerprint_)) {
     return ErrorKind::kOverloaded;
   }
   return std::nullopt;
--- a/packages/schema/include/gentianroute/schema/declarations.h
+++ b/packages/schema/include/gentianroute/schema/declarations.h
@@ -48,9 +48,9 @@
  public:
   std::string Encode(const ConfigRevision& revision) const override;
   std::optional<ConfigRevision> Decode(std::string_view text) const override;
-  bool AddTo(Catalogue& catalogue,
-             const DocumentName& name,
-             const Document& document) const override;
+  bool AddDocument(Catalogue& catalogue,
+                   const DocumentName& name,
+                   const Document& document) const override;
   std::string EncodeSnapshot(const ConfigSnapshot& snapshot) const override;
   std::optional<ConfigSnapshot> DecodeSnapshot(
       std::string_view text) const override;
--- a/packages/schema/src/declarations.cc
+++ b/packages/schema/src/declarations.cc
@@ -270,7 +270,7 @@
   const JsonConfigCodec codec;
   Catalogue catalogue;
   for (const auto& [name, document] : documents) {
-    if (!codec.AddTo(catalogue, name, document)) {
+    if (!codec.AddDocument(catalogue, name, document)) {
       const Origin origin = OriginOf(file, name, origins);
       return leaf::new_error(SchemaError{origin.file, origin.path,
                                          "a document that can't be read",
@@ -307,9 +307,9 @@
   return {};
 }
 
-bool JsonConfigCodec::AddTo(Catalogue& catalogue,
-                            const DocumentName& name,
-                            const Document& document) const {
+bool JsonConfigCodec::AddDocument(Catalogue& catalogue,
+                                  const DocumentName& name,
+                                  const Document& document) const {
   const Adder adder = kAdders[static_cast<std::size_t>(name.first)];
   return adder(catalogue, name.second, document);
 }
--- a/packages/schema/tests/config_log_test.cc
+++ b/packages/schema/tests/config_log_test.cc
@@ -265,8 +265,8 @@
 Test(config_follower, new_host_with_stale_part_only_is_not_known) {
   const JsonConfigCodec codec;
   ConfigFollower follower(codec);
-  follower.Heard(9);
-  follower.KnowEmpty();
+  follower.OnRevisionSeen(9);
+  follower.OnEmptyLog();
   cr_assert(follower.Apply(ConfigSnapshot{3, {}}));
   cr_assert(!follower.known());
   cr_assert(follower.Apply(ConfigSnapshot{9, {}}));
--- a/packages/schema/tests/lease_test.cc
+++ b/packages/schema/tests/lease_test.cc
@@ -55,16 +55,16 @@
 Test(lease, paused_holder_finds_its_lease_lapsed) {
   Fixture fixture;
   fixture.Run(fixture.first, At(0));
-  cr_assert(fixture.first.MaySend(At(8)));
-  cr_assert(!fixture.first.MaySend(At(9)), "it could arrive after the lease");
+  cr_assert(fixture.first.CanSend(At(8)));
+  cr_assert(!fixture.first.CanSend(At(9)), "it could arrive after the lease");
   for (int second = 1; second <= 12; ++second) {
     fixture.Run(fixture.second, At(second));
     cr_assert(!fixture.second.held());
   }
   fixture.Run(fixture.second, At(13));
-  cr_assert(fixture.second.MaySend(At(13)));
+  cr_assert(fixture.second.CanSend(At(13)));
   cr_assert_eq(fixture.second.fencing(), 2);
-  cr_assert(!fixture.first.MaySend(At(13)));
+  cr_assert(!fixture.first.CanSend(At(13)));
   fixture.Run(fixture.first, At(13));
   cr_assert(!fixture.first.held());
 }
@@ -76,14 +76,14 @@
   Fixture fixture;
   fixture.Run(fixture.first, At(0));
   const std::uint64_t decided = fixture.first.fencing();
-  cr_assert(fixture.first.MaySend(At(1), decided));
+  cr_assert(fixture.first.CanSend(At(1), decided));
   fixture.Run(fixture.second, At(1));
   fixture.Run(fixture.second, At(13));
   fixture.Run(fixture.second, At(14), false);
   fixture.Run(fixture.first, At(14));
   cr_assert_eq(fixture.first.fencing(), 3);
-  cr_assert(fixture.first.MaySend(At(14)));
-  cr_assert(!fixture.first.MaySend(At(14), decided));
+  cr_assert(fixture.first.CanSend(At(14)));
+  cr_assert(!fixture.first.CanSend(At(14), decided));
 }
 
 // The answer to a renewal comes six seconds late. Others count from the write,
@@ -94,8 +94,8 @@
   cr_assert(fixture.first.Advance(At(3), true) == Step::kTransact);
   const auto result = fixture.Commit(fixture.first.transaction());
   fixture.first.OnTransacted(At(9), result);
-  cr_assert(fixture.first.MaySend(At(11)));
-  cr_assert(!fixture.first.MaySend(At(12)));
+  cr_assert(fixture.first.CanSend(At(11)));
+  cr_assert(!fixture.first.CanSend(At(12)));
 }
 
 // An acquisition's answer is lost: the daemon may be the holder or not. It
@@ -107,9 +107,9 @@
   cr_assert(fixture.first.Advance(At(0), true) == Step::kTransact);
   fixture.Commit(fixture.first.transaction());
   fixture.first.OnTransacted(At(1), {});
-  cr_assert(!fixture.first.MaySend(At(1)));
+  cr_assert(!fixture.first.CanSend(At(1)));
   fixture.Run(fixture.first, At(4));
-  cr_assert(fixture.first.MaySend(At(4)));
+  cr_assert(fixture.first.CanSend(At(4)));
   cr_assert_eq(fixture.first.fencing(), 2);
 }
 
@@ -117,9 +117,9 @@
   Fixture fixture;
   fixture.Run(fixture.first, At(0));
   fixture.Run(fixture.first, At(1), false);
-  cr_assert(!fixture.first.MaySend(At(1)));
+  cr_assert(!fixture.first.CanSend(At(1)));
   fixture.Run(fixture.second, At(1));
-  cr_assert(fixture.second.MaySend(At(1)));
+  cr_assert(fixture.second.CanSend(At(1)));
 }
 
 // An order gets no answer; the desired state changes. A second order at once
@@ -138,7 +138,7 @@
   issuer.SetGroups({{Model("b"), 1, {}}});
   issuer.OnState("e", EngineState{});
   cr_assert(issuer.Advance(At(1), fixture.first).orders.empty());
-  cr_assert(issuer.InFlight(At(1)));
+  cr_assert(issuer.HasOrderInFlight(At(1)));
   fixture.Run(fixture.first, At(3));
   cr_assert_eq(issuer.Advance(At(3), fixture.first).orders.size(), 1);
 }
@@ -159,15 +159,15 @@
   issuer.OnState("e", EngineState{});
   const auto orders = issuer.Advance(At(0), fixture.first).orders;
   cr_assert_eq(orders.size(), 1);
-  cr_assert(issuer.MayWrite(At(1), fixture.first, orders[0]));
-  cr_assert(issuer.InFlight(At(2)));
-  cr_assert(!issuer.InFlight(At(3)));
-  cr_assert(!issuer.MayWrite(At(4), fixture.first, orders[0]));
+  cr_assert(issuer.CanWrite(At(1), fixture.first, orders[0]));
+  cr_assert(issuer.HasOrderInFlight(At(2)));
+  cr_assert(!issuer.HasOrderInFlight(At(3)));
+  cr_assert(!issuer.CanWrite(At(4), fixture.first, orders[0]));
   issuer.OnState("e", EngineState{});
   const auto next = issuer.Advance(At(4), fixture.first).orders;
   cr_assert_eq(next.size(), 1);
-  cr_assert(!issuer.MayWrite(At(4), fixture.first, orders[0]));
-  cr_assert(issuer.MayWrite(At(4), fixture.first, next[0]));
+  cr_assert(!issuer.CanWrite(At(4), fixture.first, orders[0]));
+  cr_assert(issuer.CanWrite(At(4), fixture.first, next[0]));
 }
 
 Test(order_issuer, engine_that_runs_a_group_already_is_kept) {
--- a/tests/random/order_run.cc
+++ b/tests/random/order_run.cc
@@ -84,7 +84,7 @@
                                   bool fenced) {
   LeaseKeeper::Options options;
   if (fenced) {
-    options.longest_order = {};  // the engines refuse what is late
+    options.max_order_delay = {};  // the engines refuse what is late
   }
   options.pool = "p";
   options.holder = std::to_string(index) + "/" + std::to_string(generation);
@@ -144,7 +144,7 @@
     const std::uint64_t generation = hosts_[index].generation;
     world_.After(world_.Between(0, 5), [=, this] {
       At(index, generation, [this, index, order](Issuer& sender) {
-        if (sender.orders.MayWrite(world_.now(), sender.lease, order)) {
+        if (sender.orders.CanWrite(world_.now(), sender.lease, order)) {
           Send(index, order);
         }
       });
@@ -154,7 +154,7 @@
 
 void OrderRun::StepLease(std::size_t index, Issuer& issuer) {
   const TimePoint now = world_.now();
-  const bool wanted = !issuer.draining || issuer.orders.InFlight(now);
+  const bool wanted = !issuer.draining || issuer.orders.HasOrderInFlight(now);
   const LeaseKeeper::Step step = issuer.lease.Advance(now, wanted);
   const std::uint64_t generation = hosts_[index].generation;
   if (step == LeaseKeeper::Step::kRead) {
--- a/tests/random/random_config.cc
+++ b/tests/random/random_config.cc
@@ -193,7 +193,7 @@
 }
 
 void Process::Poll() {
-  if (schedule.Due(run_.world.now())) {
+  if (schedule.IsPollDue(run_.world.now())) {
     sync.Poll([this](bool answered) {
       schedule.OnPolled(run_.world.now(), answered);
     });
@@ -213,9 +213,9 @@
 
 void Process::OnDigest(std::size_t peer, std::uint64_t revision, Duration age) {
   if (age != Duration::max()) {
-    schedule.OnHeard(run_.world.now(), age);
+    schedule.OnPeerReadAge(run_.world.now(), age);
   }
-  follower.Heard(revision);
+  follower.OnRevisionSeen(revision);
   if (revision < follower.revision()) {  // the other half of an exchange
     run_.Send(index_, peer,
               [this_index = index_, own = follower.revision()](Process& to) {
