--- a/packages/base/include/gentianroute/base/caller_limits.h
+++ b/packages/base/include/gentianroute/base/caller_limits.h
@@ -8,7 +8,7 @@
 
 namespace gentianroute {
 
-/// @brief What a caller may send, and how long it may take.
+/// @brief Limits on the size and the timing of a caller's HTTP request.
 struct CallerLimits {
   std::size_t head_bytes = 16 * 1024;
   std::size_t body_bytes = 4 * 1024 * 1024;
--- a/packages/base/include/gentianroute/base/check.h
+++ b/packages/base/include/gentianroute/base/check.h
@@ -5,16 +5,16 @@
 
 namespace gentianroute::detail {
 
-/// @brief Writes one log line and aborts.
+/// @brief Logs the failed invariant and aborts the process.
 [[noreturn]] void InvariantBroken(std::string_view expression,
                                   std::string_view file,
                                   int line);
 
 }  // namespace gentianroute::detail
 
-/// Asserts an invariant in every build. A daemon that goes on with a broken
-/// invariant could double an order; a daemon that stops loses only what its
-/// claims and its callers' retries already cover.
+/// Checks an invariant in all build types and aborts if it is false. Continuing
+/// with a broken invariant could execute a request's effect twice; after a
+/// crash, claims and callers' retries recover the requests in flight.
 #define GR_INVARIANT(expression)                                     \
   do {                                                               \
     if (!(expression)) {                                             \
--- a/packages/base/include/gentianroute/base/error_kind.h
+++ b/packages/base/include/gentianroute/base/error_kind.h
@@ -10,16 +10,16 @@
 
 namespace gentianroute {
 
-/// @brief What is known of a request's work when it ends in an error.
+/// @brief Whether the stages of a failed request have run.
 enum class ExecutionState : std::uint8_t {
-  kNotRun,   ///< no byte of any stage call was written; safe to send again
-  kRun,      ///< stages ran, but none with an effect that must not repeat
-  kUnknown,  ///< an effect may have taken place; look before sending again
+  kNotRun,   ///< no byte of any stage call was written; safe to retry
+  kRun,      ///< stages ran, but none that is unsafe to repeat
+  kUnknown,  ///< a non-repeatable stage may have run; check before a retry
 };
 
-/// @brief The closed list of errors. Numbers are stable: add, never renumber.
+/// @brief All errors. The numbers are part of the API and must not change.
 enum class ErrorKind : std::uint16_t {
-  // The caller's mistakes: 1xx.
+  // 1xx: errors in the caller's request.
   kMalformedRequest = 101,
   kUnauthorised = 102,
   kUnknownService = 103,
@@ -27,7 +27,7 @@
   kHeadersTooLarge = 105,
   kKeyConflict = 106,
   kMethodNotAllowed = 108,
-  // Refused before anything ran: 2xx.
+  // 2xx: rejected before any stage ran.
   kOverloaded = 201,
   kDeadlineTooShort = 202,
   kStoreUnavailable = 203,
@@ -37,42 +37,42 @@
   kNotReady = 207,
   kTooManyConnections = 208,
   kDeadlineBeforeStart = 209,
-  // Given up after something ran: 3xx.
+  // 3xx: failed after a stage ran.
   kStageFailed = 301,
   kDeadlineExceeded = 302,
   kOutcomeUnknown = 303,
   kStreamBroken = 304,
-  // Platform and operators: 4xx.
+  // 4xx: errors of the platform and of operators' requests.
   kRevisionConflict = 401,
   kInvalidSettings = 402,
   kPlatformUnreachable = 403,
-  // Faults of the daemon itself: 9xx.
+  // 9xx: internal errors of the daemon.
   kInternal = 901,
 };
 
-/// @brief How one kind is answered.
+/// @brief The response to an error of one kind.
 struct ErrorAnswer {
   ErrorKind kind;
-  std::string_view name;  ///< `kind` of the problem+json body
+  std::string_view name;  ///< value of `kind` in the problem+json body
   int http_status;
   ExecutionState work;
-  Duration retry_after;      ///< zero: no Retry-After header
-  std::string_view title;    ///< one sentence for a person
-  std::string_view example;  ///< an example of `detail`
+  Duration retry_after;      ///< Retry-After header; zero: header is omitted
+  std::string_view title;    ///< value of `title` in the problem+json body
+  std::string_view example;  ///< example of `detail`, for the documentation
 };
 
-/// @brief The answer to one kind.
-/// @return the row of the table; every kind has one
+/// @brief Returns the response to an error kind; every kind has one.
 /// @complexity linear in the number of kinds
 ErrorAnswer AnswerFor(ErrorKind kind);
 
-/// @brief All kinds, in the order of their numbers.
+/// @brief Returns the responses to all kinds, sorted by number.
 std::span<const ErrorAnswer> AllErrorAnswers();
 
-/// @brief The kind with a given number, as peers send it.
+/// @brief Converts a number received from a peer to an error kind.
+/// @return no value if no kind has this number
 std::optional<ErrorKind> ErrorKindFromNumber(std::uint16_t number);
 
-/// @brief The word that stands in problem+json and logs.
+/// @brief Returns the name used in problem+json and in logs.
 /// @return `not_run`, `run` or `unknown`
 std::string_view ExecutionStateName(ExecutionState work);
 
--- a/packages/base/include/gentianroute/base/id.h
+++ b/packages/base/include/gentianroute/base/id.h
@@ -8,8 +8,8 @@
 
 namespace gentianroute {
 
-/// @brief A number that can't be mistaken for one of another sort.
-/// @tparam Tag an empty type that names the sort
+/// @brief A strongly typed integer identifier; 0 means "no identifier".
+/// @tparam Tag an empty type that makes each kind of identifier distinct
 template <typename Tag>
 struct Id {
   std::uint64_t value = 0;
@@ -18,11 +18,13 @@
   explicit operator bool() const { return value != 0; }
 };
 
-/// @brief A request as this daemon counts them; never reused.
+/// @brief Sequential number of a request in this daemon; never reused.
 using RequestId = Id<struct RequestTag>;
-/// @brief One call of one stage of one request; the backend server echoes it.
+/// @brief Identifies one call of a stage; the backend server echoes it in its
+/// response.
 using AttemptId = Id<struct AttemptTag>;
-/// @brief Hash of a request's service and body, equal for its resends.
+/// @brief Hash of a request's service and body; the same for each resend of a
+/// request.
 using Fingerprint = Id<struct FingerprintTag>;
 
 }  // namespace gentianroute
--- a/packages/base/include/gentianroute/base/number.h
+++ b/packages/base/include/gentianroute/base/number.h
@@ -7,9 +7,9 @@
 
 namespace gentianroute {
 
-/// @brief The whole number that a text begins with, as in a header or a row.
-/// @return 0 if it begins with none, or with one that does not fit
-/// @complexity linear in the digits
+/// @brief Parses the decimal integer at the start of a header or row value.
+/// @return 0 if there is none or it doesn't fit into 64 bits
+/// @complexity linear in the number of digits
 ///
 /// @example ParseLeadingNumber("17") == 17; ParseLeadingNumber("") == 0
 inline std::uint64_t ParseLeadingNumber(std::string_view text) {
--- a/packages/base/include/gentianroute/base/problem.h
+++ b/packages/base/include/gentianroute/base/problem.h
@@ -8,8 +8,11 @@
 
 namespace gentianroute {
 
-/// @brief The problem+json body of an error.
-/// @param key_checked false: an earlier arrival of its key may have run
+/// @brief Builds the problem+json body (RFC 9457) of an error response.
+/// @param detail explanation of this occurrence, for a person
+/// @param request_id omitted from the body if empty
+/// @param key_checked false if the idempotency key could not be looked up, so
+/// that an earlier request with the same key may have run
 std::string ProblemBody(ErrorKind kind,
                         std::string_view detail,
                         std::string_view request_id,
--- a/packages/base/include/gentianroute/base/table.h
+++ b/packages/base/include/gentianroute/base/table.h
@@ -8,7 +8,7 @@
 
 namespace gentianroute {
 
-/// @brief Address of one row in the platform's table service.
+/// @brief Identifies a row of the platform's table service.
 struct TableKey {
   std::string table;
   std::string key;
@@ -16,26 +16,27 @@
   friend auto operator<=>(const TableKey&, const TableKey&) = default;
 };
 
-/// @brief A row as read; version 0 means that there is none.
+/// @brief A row as read; version 0 means that the row doesn't exist.
 struct TableRow {
   TableKey key;
   std::string value;
   std::uint64_t version = 0;
 };
 
-/// @brief Holds while the row has exactly this version; 0: while it is absent.
+/// @brief Precondition that a row has this version; 0: that it doesn't exist.
 struct TableCondition {
   TableKey key;
   std::uint64_t version = 0;
 };
 
-/// @brief Puts a value, or deletes the row if there is none.
+/// @brief Writes a row, or deletes it if `value` is empty.
 struct TableWrite {
   TableKey key;
   std::optional<std::string> value;
 };
 
-/// @brief All writes happen, or none; only if every condition holds.
+/// @brief Atomic conditional write: if all conditions hold, all writes are
+/// applied, else none.
 struct TableTransaction {
   std::vector<TableCondition> conditions;
   std::vector<TableWrite> writes;
@@ -44,20 +45,20 @@
 enum class TableStatus : std::uint8_t {
   kCommitted,
   kConditionFailed,  ///< nothing was written
-  kRefused,          ///< nothing was written and nothing will be
-  kUnknown,          ///< the answer is lost: written, not written, or later
+  kRefused,          ///< nothing was written, and it won't be applied later
+  kUnknown,          ///< no response; it may be applied, also at a later time
 };
 
 struct TransactResult {
   TableStatus status = TableStatus::kUnknown;
-  /// With kCommitted: the new version of each row, in the order of the writes.
+  /// With kCommitted: the new version of each written row, in write order.
   std::vector<std::uint64_t> versions;
-  /// The present rows behind the conditions that failed.
+  /// The current rows of the conditions that failed.
   std::vector<TableRow> conflicts;
 };
 
 struct ReadResult {
-  /// False: the service did not answer; `rows` says nothing.
+  /// False if the service did not respond; `rows` is meaningless then.
   bool answered = false;
   std::vector<TableRow> rows;
 };
--- a/packages/base/include/gentianroute/base/time.h
+++ b/packages/base/include/gentianroute/base/time.h
@@ -8,8 +8,8 @@
 
 /// @brief Monotonic clock of one daemon, in microseconds since its start.
 ///
-/// It has no now(): every function that decides takes the present time as an
-/// argument, so that tests drive the same code with virtual time.
+/// It has no now(): functions take the current time as an argument, so that
+/// tests can run the same code in virtual time.
 struct DaemonClock {
   using rep = std::int64_t;
   using period = std::micro;
@@ -21,31 +21,32 @@
 using Duration = DaemonClock::duration;
 using TimePoint = DaemonClock::time_point;
 
-/// @brief Microseconds since the Unix epoch; only for rows that other daemons
-/// read, never for a deadline.
+/// @brief Microseconds since the Unix epoch. Only for values that other
+/// processes read; deadlines use TimePoint, which wall-clock steps don't
+/// affect.
 using UnixMicros = std::int64_t;
 
 inline constexpr TimePoint kNever = TimePoint::max();
 
-/// @brief A duration in fractional seconds.
-/// @return seconds
+/// @brief Converts a duration to fractional seconds.
 inline double Seconds(Duration duration) {
   return std::chrono::duration<double>(duration).count();
 }
 
-/// @brief A duration in fractional milliseconds.
-/// @return milliseconds
+/// @brief Converts a duration to fractional milliseconds.
 inline double Milliseconds(Duration duration) {
   return std::chrono::duration<double, std::milli>(duration).count();
 }
 
-/// @brief Whole milliseconds, rounded towards zero; for lines and wire formats.
+/// @brief Converts a duration to whole milliseconds, rounded towards zero; for
+/// log lines and wire formats.
 inline std::int64_t WholeMilliseconds(Duration duration) {
   return std::chrono::duration_cast<std::chrono::milliseconds>(duration)
       .count();
 }
 
-/// @brief A duration of fractional milliseconds, to the microsecond below.
+/// @brief Converts fractional milliseconds to a duration, rounded towards zero
+/// to a microsecond.
 inline Duration FromMilliseconds(double milliseconds) {
   return std::chrono::duration_cast<Duration>(
       std::chrono::duration<double, std::milli>(milliseconds));
--- a/packages/base/src/error_kind.cc
+++ b/packages/base/src/error_kind.cc
@@ -101,12 +101,12 @@
 });
 
 static_assert(std::ranges::is_sorted(kErrorAnswers, {}, &ErrorAnswer::kind),
-              "the table is in the order of the numbers");
+              "entries must be sorted by number");
 static_assert(std::ranges::adjacent_find(kErrorAnswers,
                                          {},
                                          &ErrorAnswer::kind) ==
                   kErrorAnswers.end(),
-              "each kind has one answer");
+              "each kind must have exactly one entry");
 
 constexpr auto kExecutionStateNames =
     std::to_array<std::string_view>({"not_run", "run", "unknown"});
--- a/packages/base/tests/error_kind_test.cc
+++ b/packages/base/tests/error_kind_test.cc
@@ -20,8 +20,8 @@
   cr_assert(!ErrorKindFromNumber(999).has_value());
 }
 
-// A caller that is told 503 sends the request again. That is right only while
-// nothing ran, so every 503 to a caller must say not_run and when to come back.
+// Callers retry on 503. A retry is safe only if no stage has run, so each 503
+// response to a caller must report not_run and have a Retry-After header.
 Test(error_kind, service_unavailable_says_not_run_and_when_to_return) {
   for (const auto& row : AllErrorAnswers()) {
     if (row.http_status != 503 || row.kind == ErrorKind::kPlatformUnreachable) {
