--- a/packages/decision/include/gentianroute/decision/server_table.h
+++ b/packages/decision/include/gentianroute/decision/server_table.h
@@ -21,118 +21,131 @@
 
 using Rng = std::mt19937_64;
 
-/// @brief The path from this daemon to one data centre.
+/// @brief Network cost between this daemon and one data centre.
 struct PathCost {
-  Duration one_way{0};
-  double micros_per_byte = 0;  ///< price in micro-euros of a billed byte
+  Duration one_way{0};         ///< latency in one direction
+  double micros_per_byte = 0;  ///< price in micro-euros per billed byte
 };
 
-/// @brief How a server is chosen; the last two are baselines to measure with.
+/// @brief How a server is chosen. kRandom and kLeastReportedLoad are baselines
+/// for benchmarks.
 enum class RoutingPolicy : std::uint8_t {
   kPredictedCompletion,
   kRandom,
   kLeastReportedLoad,
 };
 
-/// @brief What one call needs of a server.
+/// @brief Constraints and estimates for the choice of a server for one call.
 struct PickContext {
   std::string_view pool;
   Objective objective = Objective::kAttainment;
-  bool cross_region = true;
+  bool cross_region = true;  ///< servers in other regions are allowed
+  /// Expected duration of the call.
   Duration expected{std::chrono::milliseconds(50)};
-  Duration expected_remaining{
-      0};                  ///< of this and all later stages; zero: unknown
-  Duration queue_wait{0};  ///< wait of the last in line, as measured
+  /// Expected duration of this and all later stages; zero: unknown.
+  Duration expected_remaining{0};
+  /// Estimated wait of a request at the back of the pool's queue.
+  Duration queue_wait{0};
+  /// Time left until the request's deadline.
   Duration remaining{std::chrono::seconds(6)};
   std::uint64_t prefix = 0;  ///< hash of the prompt prefix; 0: none
-  std::size_t bytes = 0;     ///< estimate of what the call moves both ways
-  std::span<const ServerRef>
-      excluded;                  ///< servers that this stage tried already
-  bool exclude_ejected = false;  ///< none at all rather than a failing one
+  std::size_t bytes = 0;     ///< estimated bytes sent and received
+  /// Servers not to choose, such as those that this stage has tried.
+  std::span<const ServerRef> excluded;
+  /// Never choose an ejected server, even if there is no other.
+  bool exclude_ejected = false;
 };
 
-/// @brief All backend servers, which of them may get work, and how they fare.
+/// @brief Keeps the state and health of all backend servers and balances calls
+/// among them.
 class ServerTable {
  public:
   struct Options {
     std::string data_centre;
     std::string region;
     RoutingPolicy policy = RoutingPolicy::kPredictedCompletion;
+    /// Consecutive failures after which a server is ejected.
     std::uint32_t failures_before_ejection = 3;
+    /// Length of the first ejection; doubles with each further failure.
     Duration ejection_duration = std::chrono::seconds(2);
     Duration max_ejection_duration = std::chrono::seconds(30);
   };
 
   ServerTable(Options options, std::map<std::string, PathCost> paths);
 
-  /// @brief Takes over a list. A lagging list never brings back a server that
-  /// said that it leaves: leaving is final for that incarnation.
-  /// @return true if a server may get work that could not before
+  /// @brief Applies a host list. A server known to be leaving stays so for the
+  /// rest of its incarnation, since the list may lag.
+  /// @return true if the list has a new server or a new incarnation of one
   bool ApplyHostList(TimePoint now, std::span<const HostRecord> hosts);
 
-  /// @brief Heard from the server itself, or from a peer.
+  /// @brief Marks an incarnation of a server as leaving, as reported by the
+  /// server itself or by a peer.
   void MarkLeaving(std::string_view server, std::uint64_t incarnation);
 
-  /// @brief Drops what is known of an incarnation that no list names any more.
+  /// @brief Removes the leaving mark of an incarnation that is no longer in any
+  /// host list.
   void RemoveLeaving(std::string_view server, std::uint64_t incarnation);
 
-  /// @brief A load report that came back with an answer.
+  /// @brief Handles the load that a server reported in a response.
   void OnLoadReport(TimePoint now, Server& server, std::uint32_t load);
 
-  /// @brief Chooses a server that accepts work and has a free slot.
+  /// @brief Chooses an accepting server with a free slot.
   /// @return null if there is none
-  /// @complexity constant in servers: a few draws from the free ones of each
-  /// tier; the baselines may look at all
+  /// @complexity constant in servers with kPredictedCompletion, which samples a
+  /// few free servers of each tier; linear in servers with the other policies
   ServerRef Pick(TimePoint now, const PickContext& context, Rng& rng);
 
-  /// @brief The accepting server in favour, free slot or not, with the fewest
-  /// calls of this daemon.
+  /// @brief Returns the accepting server that isn't ejected and has the fewest
+  /// calls from this daemon in flight, whether or not it has a free slot.
   /// @return null if there is none
   /// @complexity linear in servers
   ServerRef LeastBusy(TimePoint now, const PickContext& context) const;
 
-  /// @brief Whether any server of the pool accepts work, busy or not.
+  /// @brief Whether any server of the pool is accepting, with or without a free
+  /// slot.
   bool HasServer(std::string_view pool) const;
 
-  /// @brief Whether bytes to and from this server are billed by volume.
+  /// @brief Whether the server is in another region; traffic between regions is
+  /// billed by volume.
   bool CrossesRegions(const Server& server) const {
     return server.host.region != options_.region;
   }
 
-  /// @brief Lets engines that hold a prompt's prefix be preferred.
-  /// @param caches outlives the table; null: no preference
+  /// @brief Makes Pick() prefer engines that have a prompt's prefix in cache.
+  /// @param caches must outlive the table; null: no preference
   void SetPrefixAffinity(const PrefixAffinity* caches) {
     prefix_affinity_ = caches;
   }
 
   void OnStart(Server& server);
   void OnSuccess(TimePoint now, Server& server, Duration took);
-  /// @param unreachable no connection: out of favour at once
+  /// @param unreachable the connection failed: ejects the server at once
   void OnFailure(TimePoint now, Server& server, bool unreachable = false);
-  /// @brief Ends a call that says nothing about the server's health.
+  /// @brief Ends a call without counting it as a success or a failure.
   void OnCancelled(Server& server);
 
-  /// @brief Servers known to leave, to tell peers.
+  /// @brief Names and incarnations of the servers known to be leaving.
   const std::set<std::pair<std::string, std::uint64_t>>& leaving() const {
     return leaving_;
   }
-  /// @brief Every server by name, for reports.
+  /// @brief All servers by name, for status reports.
   const std::map<std::string, ServerRef, std::less<>>& servers() const {
     return servers_;
   }
 
  private:
-  /// Nearest first: own data centre, own region, all others.
+  /// Nearest first: same data centre, same region, other regions.
   static constexpr std::size_t kTiers = 3;
   struct Tier {
-    std::vector<ServerRef> free;
-    std::size_t accepting = 0;  ///< busy or not
+    std::vector<ServerRef> free;  ///< accepting, with a free slot; unordered
+    std::size_t accepting = 0;    ///< number of accepting servers, busy or not
   };
   struct Pool {
     std::array<Tier, kTiers> tiers;
   };
   struct Candidate {
     ServerRef server;
+    /// Predicted seconds; lower is better.
     double score = std::numeric_limits<double>::infinity();
   };
   struct Query {
@@ -166,6 +179,7 @@
   bool CanTake(const Server& server, const Query& query) const;
 
   std::size_t TierOf(const Server& server) const;
+  /// Updates the free list and the accepting count of the server's tier.
   void UpdateIndex(Server& server);
   void RebuildIndex();
 
--- a/packages/decision/src/server_table.cc
+++ b/packages/decision/src/server_table.cc
@@ -8,27 +8,31 @@
 namespace gentianroute {
 namespace {
 
+/// Servers of a tier that are compared (power of two choices).
 constexpr std::size_t kSampleSize = 2;
 constexpr std::size_t kMaxRandomDraws = 8;
-/// Free servers looked at, at most, when draws keep failing.
+/// Limit of a linear scan over free servers after the random draws, for the
+/// case that most draws hit servers that can't take the call.
 constexpr std::size_t kMaxScannedServers = 16;
 constexpr double kServiceTimeSmoothing = 0.1;
 constexpr double kLoadReportSmoothing = 0.1;
-/// Share of the service time that a cached prefix saves.
+/// Fraction of the service time that a cached prefix saves.
 constexpr double kCachedPrefixSaving = 0.4;
-/// A far server is looked at only if the best near one would take more than
-/// this share of the time that is left.
+/// Servers in other regions are considered only if the best server in this
+/// region is predicted to take more than this fraction of the remaining time.
 constexpr double kCrossRegionDeadlineShare = 0.5;
-/// Expected times, of all stages to come, that must be left for a thrifty call
-/// to wait for a near server instead of paying for a far one. Measured by the
-/// stage alone, a short first stage would wait away the time of the later ones.
-/// The wait of the line counts too: a backlog that near servers can't work off
-/// in time has to move while far ones are still idle.
+/// A call with Objective::kCost waits for a server in this region, instead of
+/// paying for another region, while the time left after the queue wait exceeds
+/// this multiple of the expected duration of all remaining stages. Compared
+/// with the current stage only, a short first stage would use up the time of
+/// the later ones. The queue wait is subtracted so that a backlog that this
+/// region can't process in time moves to other regions while they are idle.
 constexpr double kNearWaitStageTimes = 12;
-/// Seconds that a micro-euro of transfer is worth, by objective.
+/// Seconds of latency that a micro-euro of transfer price weighs, indexed by
+/// Objective.
 constexpr std::array<double, 2> kSecondsPerMicroEuro = {0.00001, 0.001};
 
-/// Takes a late report into the average of the other daemons' calls.
+/// Adds a load report to the moving average of other daemons' calls.
 void UpdateExternalLoad(Server& server, std::uint32_t load) {
   const double others =
       static_cast<double>(load) - static_cast<double>(server.in_flight);
@@ -53,7 +57,7 @@
         slot != nullptr && slot->host.incarnation == host.incarnation;
     if (!known) {
       if (slot != nullptr && slot->host.incarnation > host.incarnation) {
-        // An older list: the server has been restarted since.
+        // The list is older than the server's last restart.
         slot->listed = true;
         continue;
       }
@@ -154,9 +158,9 @@
   if (!context.cross_region && server.host.region != options_.region) {
     return false;
   }
-  // A slow server would run the call beyond its deadline, and the slot that
-  // looks free would draw one doomed call after another. A single call at a
-  // time shows when the server is well again.
+  // On a server slower than the remaining time the call would miss its
+  // deadline, and the server's free slots would attract one failing call after
+  // another. One call at a time is still sent, to detect its recovery.
   const bool too_slow = server.service_seconds > Seconds(context.remaining);
   if (too_slow && server.in_flight > 0) {
     return false;
@@ -284,15 +288,15 @@
 ServerRef ServerTable::ChooseRandom(const Pool& pool,
                                     const Query& query,
                                     Rng& rng) const {
-  std::vector<ServerRef> able;
+  std::vector<ServerRef> candidates;
   for (const Tier& tier : pool.tiers) {
     for (const ServerRef& server : tier.free) {
       if (CanTake(*server, query)) {
-        able.push_back(server);
+        candidates.push_back(server);
       }
     }
   }
-  return able.empty() ? nullptr : able[rng() % able.size()];
+  return candidates.empty() ? nullptr : candidates[rng() % candidates.size()];
 }
 
 ServerRef ServerTable::ChooseLeastReported(const Pool& pool,
@@ -360,17 +364,18 @@
   ++server.failures;
   ++server.consecutive_failures;
   if (unreachable) {
-    // A dead server has nothing in flight and so draws call after call.
+    // Ejects the server at once: an unreachable server has no calls in flight,
+    // so it would otherwise be chosen for call after call.
     server.consecutive_failures = std::max(server.consecutive_failures,
                                            options_.failures_before_ejection);
   }
   if (server.consecutive_failures < options_.failures_before_ejection) {
     return;
   }
-  const std::uint32_t beyond = std::min(
+  const std::uint32_t excess_failures = std::min(
       server.consecutive_failures - options_.failures_before_ejection, 8U);
   server.ejected_until =
-      now + std::min(options_.ejection_duration * (1 << beyond),
+      now + std::min(options_.ejection_duration * (1 << excess_failures),
                      options_.max_ejection_duration);
 }
 
--- a/packages/decision/tests/server_table_test.cc
+++ b/packages/decision/tests/server_table_test.cc
@@ -70,14 +70,14 @@
   cr_assert_eq(bench.Pick(), "a");
 }
 
-// A server says that it leaves while a call runs there. The call ends later,
-// which frees a slot; the slot must not bring the server back, nor may a list
-// that lags.
+// A server is marked as leaving while it runs a call. Neither the slot that is
+// freed when the call ends nor a stale host list may make the server eligible
+// again.
 Test(server_table, freed_slot_of_leaving_server_gets_no_call) {
   Bench bench({Host("a", "near")});
   bench.table.OnStart(bench.At("a"));
   bench.table.MarkLeaving("a", 1);
-  cr_assert_eq(bench.Pick(), "", "its other slot is no longer free");
+  cr_assert_eq(bench.Pick(), "", "its other slot is no longer available");
   bench.table.OnSuccess(kStart, bench.At("a"), milliseconds(5));
   cr_assert_eq(bench.Pick(), "");
   bench.table.ApplyHostList(kStart, bench.hosts);
@@ -85,8 +85,9 @@
   cr_assert_not(bench.table.HasServer("pool"));
 }
 
-// A server restarts while a call to its old incarnation is in flight. When the
-// call ends, the old record must not join the free ones beside the new one.
+// A server restarts while a call to its old incarnation is in flight. When that
+// call ends, the old record must not be added to the free list, where the new
+// record already is.
 Test(server_table, old_incarnation_ends_call_stays_out) {
   Bench bench({Host("a", "near", 1)});
   const ServerRef old = bench.table.servers().at("a");
@@ -109,28 +110,29 @@
   cr_assert_eq(bench.Pick(), "b");
   bench.context.remaining = seconds(6);
   bench.context.queue_wait = seconds(5);
-  cr_assert_eq(bench.Pick(), "b", "near servers can't work off the backlog");
+  cr_assert_eq(bench.Pick(), "b", "near servers can't clear the backlog");
   bench.context.queue_wait = {};
   cr_assert_eq(bench.Pick(), "");
   bench.table.MarkLeaving("a", 1);
   cr_assert_eq(bench.Pick(), "b", "no near server is left to wait for");
 }
 
-// One server has become so slow that a call there ends after its deadline. Its
-// slots are the ones that stay free, so without a check it draws call after
-// call and each of them fails.
+// A server has become so slow that calls miss their deadline. As its calls time
+// out, its slots become free, so without a check it would get call after call,
+// and each would fail.
 Test(server_table, server_slower_than_deadline_gets_one_call_at_a_time) {
   Bench bench({Host("slow", "near", 4)});
   bench.context.remaining = seconds(1);
   bench.table.OnStart(bench.At("slow"));
   bench.table.OnSuccess(kStart, bench.At("slow"), seconds(2));
-  cr_assert_eq(bench.Pick(), "slow", "one call shows whether it is well again");
+  cr_assert_eq(bench.Pick(), "slow", "one call probes for recovery");
   bench.table.OnStart(bench.At("slow"));
   cr_assert_eq(bench.Pick(), "");
 }
 
-// Reports lag: the daemon sends a batch, and the report that comes next was
-// taken before it. If it were believed, the server would look idle.
+// A load report that was made before this daemon's last calls arrives after
+// them. If the reported load replaced the count of own calls, the server would
+// look idle.
 Test(server_table, stale_report_does_not_hide_own_calls) {
   Bench bench({Host("a", "near", 8), Host("b", "near", 8)});
   for (int i = 0; i < 4; ++i) {
@@ -160,12 +162,12 @@
   }
   bench.table.OnStart(bench.At("e23"));
   bench.table.OnStart(bench.At("e23"));
-  cr_assert_neq(bench.Pick(), "e23", "a full engine holds nobody up");
+  cr_assert_neq(bench.Pick(), "e23", "calls don't wait for a full engine");
 }
 
-// A dead server answers at once, by refusing, and has nothing in flight. Were
-// it kept in favour for three refusals it would look like the best one to all
-// that come meanwhile.
+// A dead server refuses connections at once and has no calls in flight. If it
+// were ejected only after three refusals, it would have the best predicted
+// completion time until then and attract many calls.
 Test(server_table, one_refused_connection_puts_server_out_of_favour) {
   Bench bench({Host("a", "near"), Host("b", "near")});
   bench.table.OnStart(bench.At("a"));
@@ -175,5 +177,5 @@
     cr_assert_eq(bench.Pick(), "b");
   }
   bench.table.OnStart(bench.At("b"));
-  cr_assert_eq(bench.Pick(), "a", "better than none");
+  cr_assert_eq(bench.Pick(), "a", "an ejected server is better than none");
 }
