--- a/packages/decision/include/gentianroute/decision/pool_health.h
+++ b/packages/decision/include/gentianroute/decision/pool_health.h
@@ -8,17 +8,19 @@
 
 namespace gentianroute {
 
-/// @brief Whether a pool answers at all, from its calls' own ends.
+/// @brief Circuit breaker of a pool, driven by the results of its calls.
 ///
-/// While no server of a pool answers, a newcomer would run its first stages in
-/// vain, wait out its whole deadline, and only then be told. Once the pool has
-/// been silent for a while, newcomers are refused at once instead, as not run;
-/// a restart of all its servers is shorter than that and is waited for. One
-/// newcomer now and then is let through, so that the pool's return is noticed.
+/// While no server of a pool responds, a new request would run its first stages
+/// for nothing and fail at its deadline. Once the pool has been unresponsive
+/// for some time, new requests are therefore rejected at once, before any stage
+/// runs. A restart of all servers is shorter than that time, and requests wait
+/// for it. A request is admitted periodically as a probe, to detect recovery.
 class PoolHealth {
  public:
   struct Options {
-    std::uint32_t failure_threshold = 3;  ///< in a row, over all servers
+    /// Consecutive failures, over all servers, of an unresponsive pool.
+    std::uint32_t failure_threshold = 3;
+    /// Time since the first of these failures.
     Duration min_outage = std::chrono::seconds(2);
     Duration probe_period = std::chrono::milliseconds(500);
   };
@@ -26,10 +28,10 @@
   PoolHealth() : PoolHealth(Options{}) {}
   explicit PoolHealth(Options options) : options_(options) {}
 
-  /// @brief Some server of the pool answered, be it with a refusal.
+  /// @brief Handles any response of a server of the pool, also a rejection.
   void OnAnswer() { failures_ = 0; }
 
-  /// @brief A call failed in a way that blames its server.
+  /// @brief Handles a call that failed through the fault of its server.
   void OnFailure(TimePoint now) {
     if (failures_ == 0) {
       failing_since_ = now;
@@ -37,14 +39,17 @@
     ++failures_;
   }
 
-  /// @param max_wait how long the newcomer would rather wait for the pool; the
-  /// longer a pool has been silent, the less likely it is back in time
+  /// @brief Whether new requests should be rejected.
+  /// @param max_wait length of an outage up to which the request prefers to
+  /// wait for the pool; the longer an outage lasts, the less likely the pool
+  /// recovers before the request's deadline
   bool IsUnresponsive(TimePoint now, Duration max_wait) const {
     return failures_ >= options_.failure_threshold &&
            now - failing_since_ >= std::max(options_.min_outage, max_wait);
   }
 
-  /// @brief Whether a newcomer may try a dark pool; one a period may.
+  /// @brief Whether to admit a request to an unresponsive pool as a probe; true
+  /// once in each `probe_period`.
   bool TryProbe(TimePoint now) {
     if (now < next_probe_) {
       return false;
--- a/packages/decision/include/gentianroute/decision/suspect_table.h
+++ b/packages/decision/include/gentianroute/decision/suspect_table.h
@@ -16,55 +16,68 @@
 
 namespace gentianroute {
 
-/// @brief Finds the request that crashes each backend server that runs it.
+/// @brief Finds and quarantines requests that crash the backend servers that
+/// run them.
 ///
-/// A crash makes a suspect of everything that ran there. The coordinator never
-/// puts two suspects on one server, nor one suspect on two, and prefers an idle
-/// one: an innocent neighbour is answered and cleared, the guilty one is
-/// quarantined at its second crash if it ran alone, else at its third. Peers
-/// are told, so that its resends crash no server of theirs.
+/// A server's crash makes each request in flight there a suspect. The
+/// coordinator runs at most one suspect on a server, each suspect on one server
+/// at a time, and prefers idle servers for them. A suspect that is answered is
+/// cleared. One whose servers keep crashing is quarantined: at its second crash
+/// if it was the only request in flight at the last one, else at its third.
+/// Quarantines are sent to peers, so that a resend doesn't crash their servers.
 ///
-/// A broken connection alone is no crash: something between the two ends may
-/// have cut it. It counts once the server is seen to be down or restarted.
-/// Until then, or until the server is seen to live on, a request that would be
-/// quarantined is accused: it waits, neither run nor refused for good.
+/// A broken connection alone doesn't prove a crash, since the network may have
+/// cut it. The crash is confirmed once the server is seen down or restarted. As
+/// long as an unconfirmed crash would complete the evidence against a request,
+/// its quarantine is pending: the request waits and is neither run nor
+/// rejected.
 class SuspectTable {
  public:
   struct Options {
-    std::uint32_t sole_crash_threshold = 2;    ///< if the last one ran alone
-    std::uint32_t shared_crash_threshold = 3;  ///< if others ran beside each
-    /// Longer than the list of hosts lags; an unconfirmed crash then lapses.
+    /// Crashes before quarantine if it ran alone at the last one.
+    std::uint32_t sole_crash_threshold = 2;
+    /// Crashes before quarantine if other requests ran at the last one too.
+    std::uint32_t shared_crash_threshold = 3;
+    /// Time after which an unconfirmed crash is ignored. Must exceed the lag of
+    /// the host list.
     Duration confirmation_timeout = std::chrono::seconds(3);
+    /// Time after its last crash during which a request is a suspect.
     Duration suspect_duration = std::chrono::minutes(10);
     Duration quarantine_duration = std::chrono::minutes(30);
+    /// Number of entries from which expired ones are removed at each crash.
     std::size_t max_entries = 10'000;
   };
 
   SuspectTable() : SuspectTable(Options{}) {}
   explicit SuspectTable(Options options) : options_(options) {}
 
-  /// @brief A connection with a call in flight broke. Called once per crash.
-  /// @param in_flight every call whose bytes had gone out to the server.
-  /// Newcomers beside a suspect too: blaming the suspect alone lets a guilty
-  /// newcomer crash on.
+  /// @brief Handles a broken connection with calls in flight. Called once per
+  /// crash.
+  /// @param in_flight all calls whose bytes had been sent to the server, also
+  /// those that ran beside a suspect: if only the suspect were counted, another
+  /// request that is the real cause would never be found.
   void OnCrash(TimePoint now,
                std::string_view server,
                std::uint64_t incarnation,
                std::span<const Fingerprint> in_flight);
 
-  /// @brief The server refuses connections, or broke all of them at once.
+  /// @brief Confirms the server's crashes: it refuses connections, or closed
+  /// all of them at once.
   void OnServerDown(TimePoint now, std::string_view server);
-  /// @brief The server is listed with this incarnation.
+  /// @brief Handles a host list entry: a higher incarnation confirms the
+  /// crashes of the earlier ones.
   void OnIncarnation(TimePoint now,
                      std::string_view server,
                      std::uint64_t incarnation);
-  /// @brief A call that was in flight at the supposed crash has gone on.
+  /// @brief Removes the server's unconfirmed crashes: a call that was in flight
+  /// at the time of the supposed crash has made progress.
   void OnServerAlive(TimePoint now, std::string_view server);
 
-  /// @brief The request was answered by a server that lived on.
+  /// @brief Clears a suspect: a server has answered it without crashing.
   void OnAnswered(Fingerprint fingerprint);
 
-  /// @brief A peer has quarantined it.
+  /// @brief Applies a quarantine that a peer has reported.
+  /// @param remaining time until the quarantine ends
   void OnPeerQuarantine(TimePoint now,
                         Fingerprint fingerprint,
                         Duration remaining);
@@ -72,21 +85,24 @@
   bool HasSuspects() const { return !entries_.empty(); }
   bool IsSuspect(TimePoint now, Fingerprint fingerprint) const;
   bool IsQuarantined(TimePoint now, Fingerprint fingerprint) const;
+  /// @brief Whether the request would be quarantined if its unconfirmed crashes
+  /// were confirmed.
   bool IsQuarantinePending(TimePoint now, Fingerprint fingerprint) const;
 
-  /// @brief What peers must know, with the time that is left of it.
+  /// @brief Returns the quarantined requests with the time that remains, to
+  /// send them to peers.
   std::vector<std::pair<Fingerprint, Duration>> Quarantined(
       TimePoint now) const;
 
-  /// @brief Drops what has run out.
+  /// @brief Removes expired entries.
   void Sweep(TimePoint now);
 
  private:
   struct Crash {
     std::string server;
     std::uint64_t incarnation = 0;
-    TimePoint at{};
-    bool alone = false;
+    TimePoint time{};
+    bool alone = false;  ///< no other request was in flight
     bool confirmed = false;
   };
   struct Entry {
@@ -95,6 +111,7 @@
     TimePoint quarantined_until{};
   };
 
+  /// Confirms the crashes of incarnations below `before_incarnation`.
   void ConfirmCrashes(TimePoint now,
                       std::string_view server,
                       std::uint64_t before_incarnation);
@@ -102,12 +119,12 @@
                         const Entry& entry,
                         bool confirmed_only) const;
   bool IsUnconfirmed(TimePoint now, const Crash& crash) const {
-    return !crash.confirmed && now < crash.at + options_.confirmation_timeout;
+    return !crash.confirmed && now < crash.time + options_.confirmation_timeout;
   }
 
   Options options_;
   std::unordered_map<Fingerprint, Entry> entries_;
-  /// Who has an unconfirmed crash at a server.
+  /// Requests with an unconfirmed crash, by server.
   std::map<std::string, std::set<Fingerprint>, std::less<>> unconfirmed_;
 };
 
--- a/packages/decision/src/suspect_table.cc
+++ b/packages/decision/src/suspect_table.cc
@@ -84,14 +84,14 @@
 bool SuspectTable::HasEnoughCrashes(TimePoint now,
                                     const Entry& entry,
                                     bool confirmed_only) const {
-  // A crash with others in flight is weaker evidence: any of them may be to
-  // blame, and an innocent one is answered and cleared at its next run.
+  // A crash with other requests in flight is weaker evidence, since any of them
+  // may have caused it; a request that didn't is cleared by its next answer.
   std::uint32_t count = 0;
   bool alone = false;
   for (const Crash& crash : entry.crashes) {
     if (crash.confirmed || (!confirmed_only && IsUnconfirmed(now, crash))) {
       ++count;
-      alone = crash.alone;  // of the last one that counts
+      alone = crash.alone;  // of the last crash counted
     }
   }
   return count >= (alone ? options_.sole_crash_threshold
--- a/packages/decision/tests/pool_health_test.cc
+++ b/packages/decision/tests/pool_health_test.cc
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// Fails every call in flight as a refused connection, for as long as said.
+/// Fails every call as a refused connection for the given time.
 void Refuse(Bench& bench, Duration length) {
   constexpr Duration kStep = milliseconds(50);
   std::size_t next = 0;
@@ -23,11 +23,10 @@
 
 }  // namespace
 
-// What the callers see: while every server of the second stage's pool refuses
-// connections, the first request waits out its time; one that comes later is
-// told "not run" at once if its profile puts cost first, and no stage of it
-// runs in vain. Now and then one is let through, and when the pool is back all
-// are.
+// All servers of the second stage's pool refuse connections. The first request
+// waits until its deadline. Later ones whose objective is cost are rejected at
+// once as not run, before their first stage runs for nothing, except for a
+// periodic probe. When the pool recovers, all requests are admitted.
 Test(pool_health, newcomer_to_a_pool_that_answers_nobody_is_refused_at_once) {
   Bench bench({HostOf("e1", "encode"), HostOf("e2", "encode")});
   bench.Submit(SubmissionOf("lookups", "first"));
@@ -39,15 +38,15 @@
   cr_assert(bench.FinishOf(newcomer)->error == ErrorKind::kNoServer);
   cr_assert_eq(bench.starts.size(), before);
   const RequestId patient = bench.Submit(SubmissionOf("lookups", "fourth"));
-  cr_assert(bench.FinishOf(patient) == nullptr);  // attainment goes first
+  cr_assert(bench.FinishOf(patient) == nullptr);  // objective is attainment
   bench.Write(bench.starts.back().attempt);
   bench.Answer(bench.starts.back().attempt, "1");
   const RequestId later = bench.Submit(SubmissionOf("thrifty", "third"));
   cr_assert(bench.FinishOf(later) == nullptr);
 }
 
-// A rolling restart takes all servers of a pool away for a second. Newcomers
-// wait for it as those do that were there before.
+// A restart takes down all servers of a pool for a second. New requests must
+// wait for the pool like earlier ones.
 Test(pool_health, pool_away_for_a_second_is_waited_for) {
   Bench bench({HostOf("e1", "encode"), HostOf("e2", "encode")});
   bench.Submit(SubmissionOf("lookups", "first"));
