--- a/packages/decision/include/gentianroute/decision/lease.h
+++ b/packages/decision/include/gentianroute/decision/lease.h
@@ -11,14 +11,15 @@
 
 namespace gentianroute {
 
-/// @brief The row of a lease.
+/// @brief Content of a lease's row.
 struct Lease {
   std::string pool;
-  std::string holder;  ///< name and incarnation; empty: given back
-  std::uint64_t fencing = 0;
+  std::string holder;         ///< name and incarnation; empty if released
+  std::uint64_t fencing = 0;  ///< fencing token; grows with each acquisition
 };
 
-/// @brief Text form of a lease row; the schema package has the real one.
+/// @brief Converts leases to and from row values. The schema package implements
+/// it.
 class LeaseCodec {
  public:
   virtual ~LeaseCodec() = default;
@@ -28,22 +29,25 @@
 
 inline constexpr std::string_view kLeaseTable = "lease";
 
-/// @brief Acquires, renews and gives back the lease of one pool.
+/// @brief Acquires, renews and releases the lease of one pool.
 ///
-/// No two clocks are compared. The holder counts from before its write was
-/// sent. Another daemon counts from after it has read that write, and takes
-/// over only when the row has not changed for the whole duration: so the
-/// holder's time ends first, whatever was late. A holder that was paused finds
-/// by its own clock that its time is over.
+/// Clocks of different hosts are never compared. The holder measures the lease
+/// duration from before it sent the write. Another daemon measures it from when
+/// it first read the row as written, and acquires the lease only if the row
+/// hasn't changed for the whole duration. So the holder's lease ends first,
+/// however long messages are delayed. A holder that was paused detects from its
+/// own clock that the lease has expired.
 class LeaseKeeper {
  public:
   struct Options {
     std::string pool;
-    std::string holder;  ///< unlike any other, and any earlier incarnation
+    std::string holder;  ///< unique over daemons and their incarnations
     Duration duration = std::chrono::seconds(10);
     Duration renewal_interval = std::chrono::seconds(3);
-    /// Added by a new holder for what the old one sent last, and kept free at
-    /// the end of a lease. Zero where the engines refuse old numbers.
+    /// Time within which an order reaches its engine or is lost. The holder
+    /// sends no order in this last part of a lease, and a new holder waits for
+    /// as long before it acquires the lease. Zero if the engines reject orders
+    /// with an old fencing token.
     Duration max_order_delay = std::chrono::seconds(2);
   };
   enum class Step : std::uint8_t {
@@ -54,8 +58,9 @@
 
   LeaseKeeper(Options options, const LeaseCodec& codec);
 
-  /// @brief What to do now; the answer is given to OnRead or OnTransacted.
-  /// @param wanted false: hold no longer, and give the lease back
+  /// @brief Returns the request to send now. Pass its result to OnRead() or
+  /// OnTransacted().
+  /// @param wanted whether to acquire and hold the lease; false releases it
   Step Advance(TimePoint now, bool wanted);
   void OnRead(TimePoint now, const ReadResult& result);
   void OnTransacted(TimePoint now, const TransactResult& result);
@@ -67,12 +72,13 @@
   bool CanSend(TimePoint now) const {
     return held_ && now + options_.max_order_delay <= valid_until_;
   }
-  /// @brief For an order that was decided some time ago: whether it may still
-  /// be written. The daemon may have lost the lease and won it again since;
-  /// then another holder may have ordered in between, and the order is void.
+  /// @brief Whether an order made under a fencing token may still be sent. It
+  /// may not if the lease was lost and acquired again since, because another
+  /// holder may have sent orders in between.
   bool CanSend(TimePoint now, std::uint64_t fencing) const {
     return fencing == fencing_ && CanSend(now);
   }
+  /// @brief Fencing token of the last lease that was acquired.
   std::uint64_t fencing() const { return fencing_; }
   bool held() const { return held_; }
 
@@ -81,19 +87,19 @@
 
   Step Begin(TimePoint now, Write write);
   Step AdvanceHolder(TimePoint now, bool wanted);
-  bool MayAcquire(TimePoint now) const;
+  bool CanAcquire(TimePoint now) const;
 
   Options options_;
   const LeaseCodec& codec_;
   TableKey key_;
   TableTransaction transaction_;
-  bool awaiting_answer_ = false;  ///< for an answer
+  bool awaiting_answer_ = false;
   Write write_ = Write::kNone;
   TimePoint sent_at_{};
-  bool row_known_ = false;  ///< the row, as of the last read or write
+  bool row_known_ = false;  ///< `row_` is the last version read or written
   Lease row_;
   std::uint64_t row_version_ = 0;
-  TimePoint row_first_seen_{};  ///< when this version was first read
+  TimePoint row_first_seen_{};  ///< when `row_version_` was first read
   bool held_ = false;
   std::uint64_t fencing_ = 0;
   TimePoint valid_until_{};
--- a/packages/decision/src/lease.cc
+++ b/packages/decision/src/lease.cc
@@ -13,7 +13,8 @@
 
 LeaseKeeper::Step LeaseKeeper::Advance(TimePoint now, bool wanted) {
   if (held_ && now >= valid_until_) {
-    // Paused or cut off: another daemon may be the holder by now.
+    // The lease expired, since the process was paused or the table service was
+    // unreachable. Another daemon may hold it now.
     held_ = false;
     row_known_ = false;
   }
@@ -26,7 +27,7 @@
   if (!wanted) {
     return Step::kNone;
   }
-  if (row_known_ && MayAcquire(now)) {
+  if (row_known_ && CanAcquire(now)) {
     return Begin(now, Write::kAcquire);
   }
   if (now < next_attempt_) {
@@ -38,7 +39,7 @@
 }
 
 LeaseKeeper::Step LeaseKeeper::AdvanceHolder(TimePoint now, bool wanted) {
-  if (!row_known_) {  // a renewal whose answer was lost
+  if (!row_known_) {  // the response to a renewal was lost
     awaiting_answer_ = true;
     return Step::kRead;
   }
@@ -52,10 +53,11 @@
   return Begin(now, Write::kRenew);
 }
 
-bool LeaseKeeper::MayAcquire(TimePoint now) const {
+bool LeaseKeeper::CanAcquire(TimePoint now) const {
   const bool unheld = row_version_ == 0 || row_.holder.empty();
-  // A row of its own that it does not hold: an acquisition whose answer was
-  // lost, under which it has sent nothing, or a lease that it let lapse.
+  // The row may name this daemon although it doesn't hold the lease: it let the
+  // lease expire, or the response to an acquisition was lost, under which no
+  // order has been sent.
   const bool own = row_.holder == options_.holder;
   return unheld || own ||
          now - row_first_seen_ >= options_.duration + options_.max_order_delay;
@@ -68,7 +70,7 @@
   }
   if (write == Write::kRelease) {
     next.holder.clear();
-    held_ = false;  // whatever becomes of the write, nothing is sent any more
+    held_ = false;  // no order may be sent, whether or not the write succeeds
   }
   transaction_ = {{{key_, row_version_}}, {{key_, codec_.Encode(next)}}};
   write_ = write;
@@ -89,7 +91,7 @@
     return;
   }
   if (write == Write::kRenew && !held_) {
-    return;  // lapsed while the answer was on its way
+    return;  // the lease expired before the response arrived
   }
   row_known_ = true;
   row_.holder = options_.holder;
--- a/packages/decision/src/order_issuer.cc
+++ b/packages/decision/src/order_issuer.cc
@@ -11,20 +11,21 @@
 using Assignment = std::map<std::string, EngineState>;
 using KnownStates = std::map<std::string, std::optional<EngineState>>;
 
-/// Takes up to `vacancies` free engines; only those that run the state already,
-/// or any.
-std::uint32_t FillGroup(Assignment& assigned,
+/// Assigns up to `vacancies` unassigned engines to a group.
+/// @param only_running assigns only engines that already have the group's state
+/// @return number of vacancies left
+std::uint32_t FillGroup(Assignment& assignment,
                         const KnownStates& engines,
                         const EngineGroup& group,
                         std::uint32_t vacancies,
-                        bool running_only) {
+                        bool only_running) {
   for (const auto& [name, state] : engines) {
     if (vacancies == 0) {
       break;
     }
     const bool running = state.has_value() && *state == group.state;
-    if ((running || !running_only) && !assigned.contains(name)) {
-      assigned[name] = group.state;
+    if ((running || !only_running) && !assignment.contains(name)) {
+      assignment[name] = group.state;
       --vacancies;
     }
   }
@@ -36,23 +37,24 @@
 std::map<std::string, EngineState> AssignEngines(
     std::span<const EngineGroup> groups,
     const std::map<std::string, std::optional<EngineState>>& engines) {
-  Assignment assigned;
+  Assignment assignment;
   for (const EngineGroup& group : groups) {
     for (const std::string& server : group.servers) {
       if (engines.contains(server)) {
-        assigned.try_emplace(server, group.state);
+        assignment.try_emplace(server, group.state);
       }
     }
   }
   std::vector<std::uint32_t> vacancies;
   vacancies.reserve(groups.size());
   for (const EngineGroup& group : groups) {
-    vacancies.push_back(FillGroup(assigned, engines, group, group.count, true));
+    vacancies.push_back(
+        FillGroup(assignment, engines, group, group.count, true));
   }
   for (std::size_t i = 0; i < groups.size(); ++i) {
-    FillGroup(assigned, engines, groups[i], vacancies[i], false);
+    FillGroup(assignment, engines, groups[i], vacancies[i], false);
   }
-  return assigned;
+  return assignment;
 }
 
 void OrderIssuer::SetGroups(std::vector<EngineGroup> groups) {
@@ -75,7 +77,7 @@
     return steps;
   }
   if (lease.fencing() != fencing_) {
-    // A new term: another holder may have changed anything meanwhile.
+    // The lease was acquired anew; other holders may have sent orders since.
     GR_INVARIANT(lease.fencing() > fencing_);
     fencing_ = lease.fencing();
     for (auto& [name, engine] : engines_) {
@@ -87,20 +89,20 @@
   for (const auto& [name, engine] : engines_) {
     known[name] = engine.state;
   }
-  const Assignment assigned = AssignEngines(groups_, known);
+  const Assignment assignment = AssignEngines(groups_, known);
   for (auto& [name, engine] : engines_) {
-    // One order at a time: an older one that is slow would otherwise undo a
-    // newer one on an engine that ignores the number.
+    // One order at a time: on an engine that ignores the fencing token, a
+    // delayed older order would undo a newer one.
     if (now < engine.order_pending_until) {
       continue;
     }
-    const auto wanted = assigned.find(name);
-    if (wanted != assigned.end() && engine.state.has_value() &&
+    const auto wanted = assignment.find(name);
+    if (wanted != assignment.end() && engine.state.has_value() &&
         *engine.state != wanted->second) {
       engine.order_pending_until = now + options_.max_order_delay;
       engine.state.reset();
       engine.next_read = now + options_.max_order_delay;
-      engine.last_order_number = ++last_order_number_;
+      engine.last_order_number = ++order_count_;
       steps.orders.push_back(
           {name, fencing_, engine.last_order_number, wanted->second});
     } else if (now >= engine.next_read) {
