--- a/packages/decision/include/gentianroute/decision/catalogue.h
+++ b/packages/decision/include/gentianroute/decision/catalogue.h
@@ -13,15 +13,15 @@
 
 using ProfileRef = std::shared_ptr<const Profile>;
 
-/// @brief All declarations in force at one revision. Requests keep the profile
-/// that they began with, whatever is applied while they run.
+/// @brief All profiles, services and pools at one configuration revision. A
+/// request keeps the profile that was current when it arrived.
 struct Catalogue {
   std::uint64_t revision = 0;
   std::map<std::string, ProfileRef, std::less<>> profiles;
   std::map<std::string, ServiceSpec, std::less<>> services;
   std::map<std::string, PoolSpec, std::less<>> pools;
 
-  /// @brief The profile that a service has picked.
+  /// @brief Returns the profile of a service.
   /// @return null if the service or its profile is not declared
   /// @complexity logarithmic in services and profiles
   ProfileRef ForService(std::string_view service) const;
--- a/packages/decision/include/gentianroute/decision/config_apply.h
+++ b/packages/decision/include/gentianroute/decision/config_apply.h
@@ -12,25 +12,25 @@
 
 namespace gentianroute {
 
-/// @brief One operator's change on its way into the log.
+/// @brief Appends an operator's change to the configuration log.
 ///
-/// The change is one transaction that appends revision N+1 under the condition
-/// that N is the last, and leaves a row under the change id. A lost answer is
-/// settled by that row, at any daemon and long after: the same change is safe
-/// to send again, since its row can be written only once.
+/// One transaction appends revision N+1 on condition that N is the newest, and
+/// writes a row for the change id. That row makes the change idempotent: it can
+/// be written only once, so after a lost response the same change can be sent
+/// again, to any daemon and at any later time.
 ///
-/// A change without an id only reads the log, and ends as kCaughtUp.
+/// A change without an id only reads the log and ends in kCaughtUp.
 class ConfigApply {
  public:
   enum class State : std::uint8_t {
     kTransact,     ///< send transaction()
     kRead,         ///< read reads()
     kGetObject,    ///< get object() from the object store
-    kApplied,      ///< in the log as revision()
-    kConflict,     ///< somebody else changed conflicting()
-    kInvalid,      ///< would break what is in force by now, see problem()
-    kUnreachable,  ///< may or may not be in the log; ask again with the same id
-    kCaughtUp,     ///< no change was asked for and the log has been read
+    kApplied,      ///< done: in the log as revision()
+    kConflict,     ///< done: another change has modified conflicting()
+    kInvalid,      ///< done: invalid with the current documents, see problem()
+    kUnreachable,  ///< outcome unknown; retry with the same change id
+    kCaughtUp,     ///< done: the log was read and there was no change to apply
   };
   struct Options {
     std::uint32_t max_tries = 8;
@@ -52,17 +52,18 @@
   const std::string& object() const { return object_; }
   void OnTransacted(const TransactResult& result);
   void OnRead(const ReadResult& result);
-  /// @param content none if the store did not answer or has no such object
+  /// @param content empty if the store didn't respond or has no such object
   void OnObject(const std::optional<std::string>& content);
 
   std::uint64_t revision() const { return change_.revision; }
-  /// @brief With kConflict: the document that both sides changed.
+  /// @brief With kConflict: the document that both changes modified.
   const DocumentName& conflicting() const { return conflicting_; }
-  /// @brief With kConflict: what this change would have written; empty: delete.
+  /// @brief With kConflict: this change's body; empty if it deletes.
   const std::string& ours() const { return ours_; }
-  /// @brief With kConflict: what stands there now; an empty body: deleted.
+  /// @brief With kConflict: the current document; the body is empty if it has
+  /// been deleted.
   const Document& theirs() const { return theirs_; }
-  /// @brief With kInvalid: what is wrong, for the operator.
+  /// @brief With kInvalid: error message for the operator.
   const std::string& problem() const { return problem_; }
 
  private:
@@ -91,7 +92,7 @@
   std::uint64_t head_version_ = 0;
   std::uint64_t head_revision_ = 0;
   std::uint64_t snapshot_revision_ = 0;
-  std::uint64_t read_after_ = 0;  ///< where the last read of the log began
+  std::uint64_t read_after_ = 0;  ///< revision before the first one last read
   std::uint32_t tries_ = 0;
   bool object_failed_ = false;
   bool own_change_found_ = false;
--- a/packages/decision/include/gentianroute/decision/config_follower.h
+++ b/packages/decision/include/gentianroute/decision/config_follower.h
@@ -9,39 +9,42 @@
 
 namespace gentianroute {
 
-/// @brief Follows the configuration log and only ever moves forward.
+/// @brief Replays the configuration log; its revision never decreases.
 ///
-/// Revisions come from the store and from peers, late, twice and out of order.
-/// Only the one that follows the present one is taken, so a stale peer or an
-/// old write that arrives late can't bring an old profile back.
+/// Revisions arrive from the store and from peers, possibly delayed, duplicated
+/// or out of order. Only the successor of the current revision is applied, so
+/// that a stale peer or a delayed write can't restore an old profile.
 class ConfigFollower {
  public:
   struct Options {
-    std::size_t max_kept_revisions = 256;  ///< to tell peers and operators
+    std::size_t max_kept_revisions = 256;  ///< for peers and operators
   };
 
   explicit ConfigFollower(const ConfigCodec& codec)
       : ConfigFollower(Options{}, codec) {}
   ConfigFollower(Options options, const ConfigCodec& codec);
 
-  /// @brief Takes what follows the present revision; passes over the rest.
+  /// @brief Applies the revisions that follow the current one; ignores others.
+  /// @param revisions sorted by revision
   /// @return true if the catalogue has changed
   bool Apply(std::span<const ConfigRevision> revisions);
 
-  /// @brief Jumps to a snapshot, if it is newer.
+  /// @brief Replaces all documents by a snapshot if it is newer.
+  /// @return true if it is newer
   bool Apply(const ConfigSnapshot& snapshot);
 
-  /// @brief Notes that some source knows a higher revision.
+  /// @brief Records a revision that a store or a peer has reported.
   void OnRevisionSeen(std::uint64_t revision);
 
-  /// @brief Revision 0 is a store that was read and found empty.
+  /// @brief Handles a read that found the log empty: revision 0 is then the
+  /// current one.
   void OnEmptyLog() { known_ = known_ || highest_seen_ == 0; }
 
-  /// @brief False until a store or a peer has told what is in force.
+  /// @brief Whether the configuration has been loaded completely once.
   ///
-  /// A new host that has read half of the log, or only a stale peer's part of
-  /// it, would serve under profiles that were replaced long ago; so it knows
-  /// nothing before it has reached the highest revision that it has heard of.
+  /// False until the highest revision that was reported has been reached. With
+  /// a part of the log only, a new host would serve requests with profiles that
+  /// have long been replaced.
   bool known() const { return known_; }
   std::uint64_t revision() const { return revision_; }
   std::uint64_t highest_seen() const { return highest_seen_; }
@@ -49,11 +52,14 @@
   const CatalogueRef& catalogue() const { return catalogue_; }
   const Documents& documents() const { return documents_; }
 
-  /// @brief Revisions after one, oldest first; empty if they are not all kept.
+  /// @brief Returns the revisions after a given one, oldest first; empty if not
+  /// all of them are kept.
   std::vector<ConfigRevision> After(std::uint64_t revision,
                                     std::size_t limit) const;
+  /// @brief The newest revisions, oldest first.
   const std::deque<ConfigRevision>& kept() const { return kept_; }
-  /// @brief For a peer that is behind by more than is kept.
+  /// @brief Returns a snapshot, for peers that lack more revisions than are
+  /// kept.
   ConfigSnapshot Snapshot() const { return {revision_, documents_}; }
 
  private:
--- a/packages/decision/include/gentianroute/decision/config_snapshotter.h
+++ b/packages/decision/include/gentianroute/decision/config_snapshotter.h
@@ -11,14 +11,14 @@
 
 namespace gentianroute {
 
-/// @brief Writes a snapshot of the configuration and deletes old rows behind
-/// it.
+/// @brief Writes snapshots of the configuration and deletes the log rows that
+/// they make obsolete.
 ///
-/// The daemon whose change took a revision that is due writes the snapshot; if
-/// it dies, the next one that is due does for both. Every step that writes a
-/// row has a condition, so two writers, late writes and lost answers can only
-/// repeat what was done. Rows are deleted only up to a revision that a snapshot
-/// which was confirmed covers.
+/// The daemon whose change gets a revision at which a snapshot is due writes
+/// it; if that daemon crashes, the next snapshot covers both. All row writes
+/// are conditional, so that concurrent writers, delayed writes and lost
+/// responses are harmless. Rows are deleted only if a snapshot that is known to
+/// be stored covers them.
 class ConfigSnapshotter {
  public:
   enum class State : std::uint8_t {
@@ -32,8 +32,9 @@
       : ConfigSnapshotter({}, codec) {}
   ConfigSnapshotter(ConfigRetention retention, const ConfigCodec& codec);
 
-  /// @brief Begins if a snapshot is due at a revision that was just applied.
-  /// @return false if none is due, or one is being written
+  /// @brief Starts a snapshot if one is due at a revision that was just
+  /// applied.
+  /// @return false if none is due or one is in progress
   bool Begin(const ConfigFollower& follower, std::uint64_t applied);
 
   State state() const { return state_; }
@@ -55,7 +56,7 @@
   const ConfigCodec& codec_;
   State state_ = State::kIdle;
   std::uint64_t revision_ = 0;
-  std::uint64_t floor_ = 0;  ///< as last read; the rows after it come along
+  std::uint64_t floor_ = 0;  ///< last known value of the kConfigFloorKey row
   std::string object_;
   std::string content_;
   std::vector<TableKey> reads_;
--- a/packages/decision/include/gentianroute/decision/detail/json_text.h
+++ b/packages/decision/include/gentianroute/decision/detail/json_text.h
@@ -6,7 +6,7 @@
 
 namespace gentianroute::detail {
 
-/// @brief A text as a JSON string; bytes that are not UTF-8 are replaced.
+/// @brief Encodes text as a JSON string, with invalid UTF-8 replaced by U+FFFD.
 inline std::string QuoteText(const std::string& text) {
   return nlohmann::json(text).dump(-1, ' ', false,
                                    nlohmann::json::error_handler_t::replace);
--- a/packages/decision/include/gentianroute/decision/profile.h
+++ b/packages/decision/include/gentianroute/decision/profile.h
@@ -9,10 +9,10 @@
 
 namespace gentianroute {
 
-/// @brief What a profile weighs more.
+/// @brief What routing optimises for.
 enum class Objective : std::uint8_t {
-  kAttainment,  ///< the deadline goes before the price
-  kCost,        ///< the cheapest way that still meets the deadline
+  kAttainment,  ///< meeting the deadline, at a higher price if needed
+  kCost,        ///< the lowest price that still meets the deadline
 };
 
 /// @brief One stage of a pipeline.
@@ -29,11 +29,13 @@
   std::int64_t cost_per_call = 0;  ///< micro-euros
   std::int64_t cost_per_unit = 0;  ///< micro-euros
 
-  /// @brief Whether a second call could do a second time what must not.
+  /// @brief Whether the stage may be called again after a call that may have
+  /// run.
   bool MayRepeat() const { return repeatable || deduplicates_by_key; }
 };
 
-/// @brief A named profile, as in force at one revision.
+/// @brief A profile as of one configuration revision: the stages that a service
+/// runs, and their objective.
 struct Profile {
   std::string name;
   std::uint64_t revision = 0;
@@ -42,7 +44,8 @@
   bool cross_region = true;
   std::vector<StageSpec> stages;
 
-  /// @brief Whether a request under this profile needs a claim on its key.
+  /// @brief Whether a stage is not repeatable, so that requests need a claim on
+  /// their idempotency key.
   bool HasEffect() const {
     for (const StageSpec& stage : stages) {
       if (!stage.repeatable) {
@@ -60,8 +63,8 @@
 
 enum class PoolKind : std::uint8_t { kService, kEngine };
 
-/// @brief What an engine runs, or should run: its whole state, so that an order
-/// that states it can be repeated.
+/// @brief Complete state of an engine, actual or desired. An order holds all of
+/// it and is therefore idempotent.
 struct EngineState {
   std::string model;
   std::string version;
@@ -71,7 +74,7 @@
   friend bool operator==(const EngineState&, const EngineState&) = default;
 };
 
-/// @brief Engines that should run the same: those named, and `count` others.
+/// @brief Engines with the same desired state: `servers`, and `count` others.
 struct EngineGroup {
   EngineState state;
   std::uint32_t count = 0;
@@ -81,7 +84,7 @@
 struct PoolSpec {
   std::string name;
   PoolKind kind = PoolKind::kService;
-  bool fenced = false;  ///< its engines refuse an order with an old number
+  bool fenced = false;  ///< engines reject orders with an old fencing token
   std::vector<EngineGroup> engines;
 };
 
--- a/packages/decision/src/config_apply.cc
+++ b/packages/decision/src/config_apply.cc
@@ -38,7 +38,8 @@
   if (!change_.change_id.empty()) {
     reads_.push_back(Row(ConfigChangeKey(change_.change_id)));
   }
-  // Most polls find nothing new; they must not cost the store a batch of rows.
+  // Most polls find nothing new, so read only the next revision unless the head
+  // is known to be further ahead.
   const bool behind = read_after_ < head_revision_;
   const std::size_t count = behind ? kRevisionsPerRead : 1;
   for (std::size_t i = 1; i <= count; ++i) {
@@ -73,9 +74,10 @@
     return;
   }
   if (follower_.revision() > head_revision_) {
-    // Peers were faster than this read. It may be older than the change's own
-    // row while the follower holds the change itself, which would then be told
-    // as a conflict with itself; a newer read shows both.
+    // The follower has received revisions from peers that are newer than this
+    // read. They may include this change while the read lacks its change id
+    // row, and the change would be reported as a conflict with itself. A newer
+    // read has both.
     Retry();
     return;
   }
@@ -118,7 +120,7 @@
   if (content.has_value()) {
     snapshot = codec_.DecodeSnapshot(*content);
   }
-  // Without a snapshot the rows may still reach back far enough.
+  // Without a snapshot, the retained rows may still suffice to catch up.
   object_failed_ = !snapshot.has_value() || !follower_.Apply(*snapshot);
   ReadLog();
 }
@@ -168,13 +170,14 @@
 }
 
 bool ConfigApply::DetectProblem() {
-  // Each author checked the change against what was in force then. After a
-  // rebase onto another's change (a pool deleted while a stage began to use
-  // it) both would be valid alone and requests of the service would fail.
+  // The author validated the change against older documents. Together with
+  // another author's change, both may be valid alone and invalid combined: one
+  // deletes a pool while the other adds a stage that uses it, and requests of
+  // that service would fail.
   Catalogue next = *follower_.catalogue();
   for (const DocumentChange& change : change_.changes) {
     if (!ChangeCatalogue(next, change, head_revision_ + 1, codec_)) {
-      problem_ = "'" + change.name + "' is not valid";
+      problem_ = "document '" + change.name + "' is not valid";
       return true;
     }
   }
@@ -207,7 +210,8 @@
     state_ = State::kApplied;
     return;
   }
-  // Conflict, refusal or a lost answer: the log tells what became of it.
+  // On a conflict, a refusal or a lost response, read the log to find out
+  // whether the change has been applied.
   ReadLog();
 }
 
--- a/packages/decision/src/config_snapshotter.cc
+++ b/packages/decision/src/config_snapshotter.cc
@@ -105,7 +105,8 @@
 
 void ConfigSnapshotter::OnTransacted(const TransactResult& result) {
   if (result.status != TableStatus::kCommitted) {
-    state_ = State::kIdle;  // another writer is at it, or the next one will be
+    // Another daemon is writing a snapshot, or the next snapshot covers this.
+    state_ = State::kIdle;
     return;
   }
   ReadRows();
