--- a/packages/decision/include/gentianroute/decision/leaving_news.h
+++ b/packages/decision/include/gentianroute/decision/leaving_news.h
@@ -13,7 +13,7 @@
 
 namespace gentianroute {
 
-/// @brief One incarnation of a backend server that gets no new work.
+/// @brief An incarnation of a backend server that accepts no new calls.
 struct LeavingServer {
   std::string server;
   std::uint64_t incarnation = 0;
@@ -21,41 +21,47 @@
   friend auto operator<=>(const LeavingServer&, const LeavingServer&) = default;
 };
 
-/// @brief Which leaving servers a daemon tells its peers, and for how long.
+/// @brief Selects the leaving servers that a daemon gossips to its peers.
 ///
-/// The list lags, flaps and is cut off, so peers tell each other at once. An
-/// entry is kept while any list may still name the incarnation, and forgotten
-/// when the own list has been without it for long: without an end the digest
-/// would grow with every server that ever left.
+/// The host list may lag, flap or be unavailable, so peers tell each other
+/// directly. An entry is kept as long as a host list may still contain the
+/// incarnation, and removed when it has been absent from this daemon's list for
+/// `retention_period`; otherwise entries would accumulate for ever.
 class LeavingNews {
  public:
   struct Options {
     std::size_t max_per_digest = 8;
+    /// Time of absence from the host list during which peers are still told.
     Duration announce_period = std::chrono::minutes(5);
+    /// Time of continuous absence from the host list before an entry is
+    /// removed.
     Duration retention_period = std::chrono::minutes(10);
   };
 
   LeavingNews() : LeavingNews(Options{}) {}
   explicit LeavingNews(Options options) : options_(options) {}
 
-  /// @return true if it is new, and worth a rumour
+  /// @return true if it is new and should be sent to peers at once
   bool Add(const LeavingServer& server);
 
-  /// @return what was forgotten
+  /// @brief Updates the entries from a host list.
+  /// @return the entries that were removed
   /// @complexity linear in hosts, logarithmic in entries
   std::vector<LeavingServer> OnHostList(TimePoint now,
                                         std::span<const HostRecord> hosts);
 
-  /// @brief The newest entries, then the older in turn, so that a daemon that
-  /// was away hears of all in a few rounds.
+  /// @brief Selects entries for the next digest: the newest ones, and the
+  /// others in rotation, so that a daemon that was partitioned receives all of
+  /// them within a few digests.
   std::vector<LeavingServer> SelectForDigest(TimePoint now);
 
   std::size_t size() const { return entries_.size(); }
 
  private:
   struct Entry {
-    std::uint64_t sequence = 0;  ///< of arrival
-    bool ever_listed = false;
+    std::uint64_t sequence = 0;  ///< in order of arrival
+    bool ever_listed = false;    ///< in a host list of this daemon
+    /// First host list without it since it was last listed; kNever if none.
     TimePoint absent_since = kNever;
   };
   bool ShouldAnnounce(TimePoint now, const Entry& entry) const;
--- a/packages/decision/include/gentianroute/decision/poll_schedule.h
+++ b/packages/decision/include/gentianroute/decision/poll_schedule.h
@@ -9,34 +9,38 @@
 
 namespace gentianroute {
 
-/// @brief Decides which daemons of a data centre poll the store's log.
+/// @brief Decides which daemons of a data centre poll the configuration log.
 ///
-/// With 810 daemons a poll each per period would take a third of the reads that
-/// the store has. A few per data centre poll, the same few in everyone's eyes
-/// (rendezvous hash over the live peers); the others hear from peers how long
-/// ago somebody has read the log, and poll only when that grows old: the few
-/// may all be dead but still listed, or cut off.
+/// If each of 810 daemons polled in each period, that would use a third of the
+/// table service's read capacity. Instead, a few daemons of each data centre
+/// poll; rendezvous hashing over the live peers selects the same ones in each
+/// daemon. The others learn from peers how long ago the log was last read, and
+/// poll themselves if that was too long ago, since all pollers may be
+/// partitioned, or dead and still listed.
 class PollSchedule {
  public:
   struct Options {
     std::string name;
     std::size_t pollers = 3;  ///< in each data centre
     Duration period = std::chrono::seconds(1);
-    std::uint32_t fallback_periods = 4;  ///< before the others poll themselves
+    /// Periods without a read of the log after which other daemons poll.
+    std::uint32_t fallback_periods = 4;
   };
 
   explicit PollSchedule(Options options);
 
-  /// @brief Takes over the live daemons of the own data centre.
+  /// @brief Sets the live daemons of this data centre.
   /// @complexity linear in peers
   void SetPeers(std::span<const std::string> names);
 
-  /// @brief Whether to poll now; called once a period.
+  /// @brief Whether to poll now; to be called once in each period.
   bool IsPollDue(TimePoint now);
   void OnPolled(TimePoint now, bool answered);
-  /// @param age since somebody has read the store's log, as a peer says
+  /// @brief Handles a peer's report.
+  /// @param age time since the log was last read, according to the peer
   void OnPeerReadAge(TimePoint now, Duration age);
-  /// @brief For peers: since this daemon, or one that it heard of, has read.
+  /// @brief Time since the last known read of the log by any daemon, as
+  /// reported to peers; Duration::max() if none is known.
   Duration Age(TimePoint now) const;
 
   bool is_poller() const { return is_poller_; }
@@ -44,9 +48,10 @@
  private:
   Options options_;
   bool is_poller_ = true;
-  TimePoint read_at_{};
+  TimePoint read_at_{};  ///< last known read of the log by any daemon
   bool ever_read_ = false;
-  TimePoint next_fallback_poll_{};  ///< earliest poll of one that is no poller
+  /// Earliest next poll of a daemon that is no poller.
+  TimePoint next_fallback_poll_{};
 };
 
 }  // namespace gentianroute
--- a/packages/decision/include/gentianroute/decision/rendezvous.h
+++ b/packages/decision/include/gentianroute/decision/rendezvous.h
@@ -9,13 +9,15 @@
 
 namespace gentianroute {
 
-/// @brief Weight of a name in the rendezvous hash of a key; the highest wins.
+/// @brief Weight of a name in rendezvous hashing of a key; the highest wins.
 std::uint64_t RendezvousWeight(std::string_view key, std::string_view name);
 
-/// @brief Place of a daemon among others in the rendezvous hash of a key; the
-/// same in everyone's eyes, and moved only by a daemon that comes or goes.
+/// @brief Rank of a daemon among all daemons in rendezvous hashing of a key.
+/// Daemons with the same list of names compute the same ranks, and a daemon
+/// that joins or leaves shifts other ranks by at most one.
+/// @param own name of the daemon whose rank is computed
 /// @param names all daemons, with or without `own`
-/// @return 0 for the first
+/// @return 0 for the daemon with the highest weight
 /// @complexity linear in names
 std::size_t RendezvousRank(std::string_view key,
                            std::string_view own,
--- a/packages/decision/include/gentianroute/decision/usage_ledger.h
+++ b/packages/decision/include/gentianroute/decision/usage_ledger.h
@@ -11,7 +11,7 @@
 
 namespace gentianroute {
 
-/// @brief One subscriber of one organisation.
+/// @brief Identifies a subscriber of an organisation.
 struct SubscriberName {
   std::string organisation;
   std::string subscriber;
@@ -20,56 +20,61 @@
                           const SubscriberName&) = default;
 };
 
-/// @brief What one organisation (empty subscriber) or subscriber has used.
+/// @brief Usage of a subscriber or, if the subscriber is empty, of an
+/// organisation.
 struct UsageRecord {
   SubscriberName name;
-  double cost = 0;  ///< cost units, decayed to the present
+  double cost = 0;  ///< cost units, decayed to the current time
 };
 
-/// @brief Decaying record of use per organisation and per subscriber.
+/// @brief Exponentially decaying usage per organisation and per subscriber.
 ///
-/// Use halves every `half_life`. All records decay alike, so they are kept
-/// scaled forward to a common epoch: a charge touches one record, and the order
-/// between records changes only by charges, never by time passing. That is what
-/// lets the fair queue keep its order without visiting everyone.
+/// Usage halves every `half_life`. Since all records decay at the same rate,
+/// records are not decayed; instead, each charge is multiplied by a scale that
+/// doubles every half-life. The order of records then changes only by charges
+/// and not with time, so the fair queue can stay sorted without updating every
+/// entry. When the scale grows too large, all records are rescaled and a new
+/// epoch begins.
 class UsageLedger {
  public:
   struct Options {
     Duration half_life = std::chrono::seconds(30);
-    /// Records kept; above it the lightest go first.
+    /// Maximum number of records; beyond it, those with the least usage are
+    /// removed.
     std::size_t max_records = 20'000;
   };
 
   UsageLedger() : UsageLedger(Options{}) {}
   explicit UsageLedger(Options options) : options_(options) {}
 
-  /// @brief Adds to both the subscriber's and its organisation's record.
-  /// @param cost cost units; negative corrects an earlier estimate
+  /// @brief Adds a cost to the records of the subscriber and its organisation.
+  /// @param cost cost units; negative to correct an earlier estimate
   /// @complexity constant, amortised over sweeps
   void Charge(TimePoint now,
               std::string_view organisation,
               std::string_view subscriber,
               double cost);
 
-  /// @brief Replaces what a peer says that it has served, as last heard.
+  /// @brief Replaces the usage that a peer has reported.
   void SetRemote(TimePoint now,
                  std::string_view peer,
                  const std::vector<UsageRecord>& heaviest);
 
-  /// @brief Forgets a peer that is gone.
+  /// @brief Removes the usage reported by a peer.
   void DropRemote(std::string_view peer);
 
-  /// @brief Use on the ledger's forward scale, local and remote, comparable
-  /// between records at any time within one epoch.
+  /// @brief Returns the scaled usage, local and remote. Values of one epoch can
+  /// be compared with each other, whenever they were returned.
   double OrganisationRank(std::string_view organisation) const;
   double SubscriberRank(std::string_view organisation,
                         std::string_view subscriber) const;
 
-  /// @brief Grows each time the scale is reset; ranks of two epochs do not
-  /// compare.
+  /// @brief Number of times that the records have been rescaled. Ranks of
+  /// different epochs can't be compared.
   std::uint64_t epoch() const { return epoch_; }
 
-  /// @brief The heaviest local records, to tell peers and operators.
+  /// @brief Returns the local records with the most usage, for peers and
+  /// operators.
   /// @complexity linear in the records
   std::vector<UsageRecord> Heaviest(TimePoint now, std::size_t limit) const;
 
@@ -78,8 +83,8 @@
  private:
   struct Record {
     SubscriberName name;
-    double local = 0;
-    double remote = 0;
+    double local = 0;   ///< scaled usage in this daemon
+    double remote = 0;  ///< scaled usage reported by peers
   };
 
   double Scale(TimePoint now) const;
@@ -89,7 +94,7 @@
   double Rank(std::string_view organisation, std::string_view subscriber) const;
 
   Options options_;
-  TimePoint origin_{};
+  TimePoint origin_{};  ///< time at which the scale is 1
   std::uint64_t epoch_ = 0;
   std::unordered_map<std::string, Record> records_;
   std::unordered_map<std::string, std::vector<UsageRecord>> remote_;
--- a/packages/decision/src/leaving_news.cc
+++ b/packages/decision/src/leaving_news.cc
@@ -25,7 +25,8 @@
   for (auto& [server, entry] : entries_) {
     if (listed.contains(server)) {
       entry.ever_listed = true;
-      entry.absent_since = kNever;  // a list that flaps starts the time anew
+      entry.absent_since =
+          kNever;  // listed again: restart the retention period
     } else if (entry.absent_since == kNever) {
       entry.absent_since = now;
     } else if (now - entry.absent_since >= options_.retention_period) {
@@ -42,9 +43,9 @@
   if (entry.absent_since == kNever) {
     return true;
   }
-  // What was never in the own list may be an entry that this daemon has
-  // forgotten and a slower peer has not. Passed on, it would go round between
-  // daemons that forget at different times and never end.
+  // An entry that was never in this daemon's list may be one that it has
+  // removed and that a peer has sent again. If it were sent on, daemons that
+  // remove it at different times would keep it circulating for ever.
   return entry.ever_listed &&
          now - entry.absent_since < options_.announce_period;
 }
--- a/packages/decision/src/poll_schedule.cc
+++ b/packages/decision/src/poll_schedule.cc
@@ -17,16 +17,17 @@
   if (is_poller_) {
     return true;
   }
-  const Duration silence = options_.fallback_periods * options_.period;
-  if (Age(now) < silence || now < next_fallback_poll_) {
+  const Duration fallback_delay = options_.fallback_periods * options_.period;
+  if (Age(now) < fallback_delay || now < next_fallback_poll_) {
     return false;
   }
-  // Spread by the name: when the store is out everybody hears nothing, and all
-  // polls at once would meet it as it comes back.
-  const auto spread =
-      static_cast<Duration::rep>(std::hash<std::string>{}(options_.name) %
-                                 static_cast<std::uint64_t>(silence.count()));
-  next_fallback_poll_ = now + silence + Duration(spread);
+  // Jitter derived from the name: during an outage of the table service no
+  // daemon learns of a read, and the polls of all would hit the service at once
+  // when it recovers.
+  const auto jitter = static_cast<Duration::rep>(
+      std::hash<std::string>{}(options_.name) %
+      static_cast<std::uint64_t>(fallback_delay.count()));
+  next_fallback_poll_ = now + fallback_delay + Duration(jitter);
   return true;
 }
 
--- a/packages/decision/src/prefix_affinity.cc
+++ b/packages/decision/src/prefix_affinity.cc
@@ -35,22 +35,22 @@
 void PrefixAffinity::Add(const std::string& engine,
                          Cache& cache,
                          std::uint64_t prefix) {
-  Drop(engine, cache, prefix);  // added again: the youngest now
-  cache.ages[prefix] = cache.next_age;
-  cache.prefixes[cache.next_age] = prefix;
-  ++cache.next_age;
+  Drop(engine, cache, prefix);  // added again: becomes the newest
+  cache.insertions[prefix] = cache.next_insertion;
+  cache.prefixes[cache.next_insertion] = prefix;
+  ++cache.next_insertion;
   holders_[prefix].insert(engine);
 }
 
 void PrefixAffinity::Drop(const std::string& engine,
                           Cache& cache,
                           std::uint64_t prefix) {
-  const auto found = cache.ages.find(prefix);
-  if (found == cache.ages.end()) {
+  const auto found = cache.insertions.find(prefix);
+  if (found == cache.insertions.end()) {
     return;
   }
   cache.prefixes.erase(found->second);
-  cache.ages.erase(found);
+  cache.insertions.erase(found);
   RemoveHolder(engine, prefix);
 }
 
@@ -74,7 +74,7 @@
 bool PrefixAffinity::Holds(std::string_view engine,
                            std::uint64_t prefix) const {
   const auto found = caches_.find(engine);
-  return found != caches_.end() && found->second.ages.contains(prefix);
+  return found != caches_.end() && found->second.insertions.contains(prefix);
 }
 
 const std::set<std::string, std::less<>>& PrefixAffinity::Holders(
--- a/packages/decision/src/usage_ledger.cc
+++ b/packages/decision/src/usage_ledger.cc
@@ -6,9 +6,10 @@
 namespace gentianroute {
 namespace {
 
-/// Half-lives after which the scale is reset, far from the end of a double.
+/// Half-lives after which the records are rescaled; a double overflows at 1024.
 constexpr double kMaxExponent = 400.0;
 constexpr char kSeparator = '\x1f';
+/// Fraction of the records that a sweep keeps.
 constexpr double kSweepKeepRatio = 0.75;
 
 std::string MapKey(std::string_view organisation, std::string_view subscriber) {
@@ -140,8 +141,8 @@
       static_cast<double>(ranks.size()) * (1.0 - kSweepKeepRatio));
   std::nth_element(ranks.begin(), ranks.begin() + drop, ranks.end());
   const double threshold = ranks[static_cast<std::size_t>(drop)];
-  // Many records may rank alike; leaving all of those in place would let the
-  // table grow without end and sweep it on each charge.
+  // Many records may have the same rank. If all of those at the threshold were
+  // kept, the table could grow without bound and be swept at each charge.
   auto ties = drop - std::count_if(
                          ranks.begin(), ranks.begin() + drop,
                          [threshold](double rank) { return rank < threshold; });
--- a/packages/decision/tests/leaving_news_test.cc
+++ b/packages/decision/tests/leaving_news_test.cc
@@ -25,70 +25,72 @@
   return TimePoint{} + minutes(minute);
 }
 
-/// Daemons that exchange digests as PeerLinks does: one exchange each a round,
-/// and for news one more round at once, with two peers.
-class Spread {
+/// Simulates daemons that exchange digests as PeerLinks does: each exchanges
+/// with one random peer in a round, and once a round with two more peers as
+/// soon as it learns of a new entry.
+class GossipSimulation {
  public:
-  Spread(std::size_t daemons, std::uint64_t seed)
-      : rng_(seed), news_(daemons), rumours_(daemons, 1) {}
+  GossipSimulation(std::size_t daemons, std::uint64_t seed)
+      : rng_(seed), daemons_(daemons), immediate_exchanges_(daemons, 1) {}
 
   void Learn(std::size_t daemon, const LeavingServer& server) {
-    if (news_[daemon].Add(server) && rumours_[daemon]-- > 0) {
+    if (daemons_[daemon].Add(server) && immediate_exchanges_[daemon]-- > 0) {
       Exchange(daemon);
       Exchange(daemon);
     }
   }
-  void Round() {
-    rumours_.assign(rumours_.size(), 1);
-    for (std::size_t i = 0; i < news_.size(); ++i) {
+  void RunRound() {
+    immediate_exchanges_.assign(immediate_exchanges_.size(), 1);
+    for (std::size_t i = 0; i < daemons_.size(); ++i) {
       Exchange(i);
     }
   }
-  std::size_t Without(std::size_t entries) const {
+  std::size_t CountMissing(std::size_t entries) const {
     return static_cast<std::size_t>(std::ranges::count_if(
-        news_,
+        daemons_,
         [entries](const LeavingNews& news) { return news.size() < entries; }));
   }
 
  private:
   void Exchange(std::size_t daemon) {
-    const std::size_t peer = rng_() % news_.size();
-    const auto mine = news_[daemon].SelectForDigest(At(0));
-    const auto yours = news_[peer].SelectForDigest(At(0));
-    for (const LeavingServer& server : mine) {
+    const std::size_t peer = rng_() % daemons_.size();
+    const auto own_digest = daemons_[daemon].SelectForDigest(At(0));
+    const auto peer_digest = daemons_[peer].SelectForDigest(At(0));
+    for (const LeavingServer& server : own_digest) {
       Learn(peer, server);
     }
-    for (const LeavingServer& server : yours) {
+    for (const LeavingServer& server : peer_digest) {
       Learn(daemon, server);
     }
   }
 
   std::mt19937_64 rng_;
-  std::vector<LeavingNews> news_;
-  std::vector<int> rumours_;
+  std::vector<LeavingNews> daemons_;
+  std::vector<int> immediate_exchanges_;
 };
 
 }  // namespace
 
-// One of 810 daemons hears that a server leaves, while everybody's list still
-// names it. Until the last daemon has heard, the server gets new work.
+// One of 810 daemons learns that a server is leaving, while the host list still
+// contains it. The server gets new calls until the last daemon has learned it.
 Test(leaving_news, one_leaving_server_is_known_to_810_daemons_in_three_rounds) {
-  int most = 0;
+  int max_rounds = 0;
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
-    Spread spread(810, seed);
-    spread.Learn(0, {"s", 1});
+    GossipSimulation simulation(810, seed);
+    simulation.Learn(0, {"s", 1});
     int rounds = 0;
-    for (; spread.Without(1) > 0; ++rounds) {
-      spread.Round();
+    for (; simulation.CountMissing(1) > 0; ++rounds) {
+      simulation.RunRound();
     }
-    most = std::max(most, rounds);
+    max_rounds = std::max(max_rounds, rounds);
   }
-  std::fprintf(stderr, "most rounds: %d\n", most);
-  cr_assert(most <= 3);
+  std::fprintf(stderr, "most rounds: %d\n", max_rounds);
+  cr_assert(max_rounds <= 3);
 }
 
-// Hundreds of servers leave in one roll-out. The digest stays small, and a
-// daemon that was cut off meanwhile still hears of each within some rounds.
+// Hundreds of servers leave in one deployment. The digest must stay small, and
+// a daemon that was partitioned must still receive every entry within some
+// rounds.
 Test(leaving_news, many_leaving_servers_are_told_in_turn) {
   LeavingNews news;
   for (int i = 0; i < 200; ++i) {
@@ -104,8 +106,9 @@
   cr_assert_eq(heard.size(), 200);
 }
 
-// The list drops a leaving server, names it again (it flaps), then drops it for
-// good. Forgotten at the first gap, the server would get new work at the flap.
+// The host list drops a leaving server, contains it again, then drops it for
+// good. If the entry were removed at the first gap, the server would get new
+// calls when it is listed again.
 Test(leaving_news, flapping_list_starts_the_time_anew) {
   LeavingNews news;
   const std::vector<HostRecord> listed = {Listed("s", 1)};
@@ -120,8 +123,8 @@
   cr_assert_eq(news.size(), 0);
 }
 
-// Two daemons forget an entry at different times. The slower one tells the
-// other again; passed on from there it would go round for ever.
+// Two daemons remove an entry at different times. The later one sends it to the
+// other again; if that one sent it on, the entry would circulate for ever.
 Test(leaving_news, entry_that_own_list_never_named_is_not_passed_on) {
   LeavingNews news;
   news.OnHostList(At(0), {});
--- a/packages/decision/tests/poll_schedule_test.cc
+++ b/packages/decision/tests/poll_schedule_test.cc
@@ -33,9 +33,9 @@
   cr_assert_eq(pollers, 3);
 }
 
-// All three pollers are dead but still listed. Nobody would read the log any
-// more, and an applied change would never get here; so the others poll when
-// they have heard of no read for a while, each at its own time.
+// All three pollers are dead but still listed, so no daemon reads the log and
+// changes don't arrive. The others must poll when they have learned of no read
+// for some time, and at different times.
 Test(poll_schedule, silence_makes_the_others_poll_now_and_then) {
   const auto names = Names(90);
   int polls = 0;
--- a/packages/decision/tests/prefix_affinity_test.cc
+++ b/packages/decision/tests/prefix_affinity_test.cc
@@ -23,9 +23,9 @@
   cr_assert(caches.Holders(1).empty());
 }
 
-// The engine evicts prefix 1 in event 6, which is lost. Event 7 shows the gap:
-// were prefix 1 still believed there, calls would go to an engine that has to
-// read the whole prompt again.
+// The engine evicts prefix 1 with event 6, which is lost; event 7 reveals the
+// gap. If prefix 1 were kept, calls would be routed to an engine that has to
+// prefill the whole prompt again.
 Test(prefix_affinity, gap_discards_what_was_believed_of_that_engine_only) {
   PrefixAffinity caches;
   caches.OnEvent({"e", 1, 5, kOne, {}});
@@ -36,9 +36,9 @@
   cr_assert(caches.Holds("f", 1));
 }
 
-// Event 4 is lost. One eviction at most went with it, so only prefix 1, the
-// oldest, is in doubt. Were 2 and 3 forgotten too, an engine whose events get
-// lost now and then would hardly ever be known to hold anything.
+// Event 4 is lost. It had one eviction at most, so only prefix 1, the oldest,
+// may be gone. If 2 and 3 were dropped too, an engine whose events are lost now
+// and then would rarely have any known prefix.
 Test(prefix_affinity, gap_of_one_event_keeps_all_but_the_oldest) {
   const std::vector<std::uint64_t> three = {3};
   PrefixAffinity caches;
--- a/packages/decision/tests/usage_ledger_test.cc
+++ b/packages/decision/tests/usage_ledger_test.cc
@@ -28,8 +28,8 @@
   cr_assert(ledger.OrganisationRank("late") > ledger.OrganisationRank("early"));
 }
 
-// Without a reset of the scale the forward-scaled use overflows after some
-// hours: all ranks become infinite and nobody is heavier than anybody else.
+// If the records were never rescaled, the scale would overflow a double after
+// some hours: all ranks would become infinite and compare equal.
 Test(usage_ledger, days_pass_ranks_stay_finite_and_in_order) {
   UsageLedger ledger;
   TimePoint now = kStart;
@@ -44,8 +44,8 @@
       1e-6);
 }
 
-// A subscriber spreads its calls over all daemons, so that at each it looks
-// like anybody else. What peers say of their heaviest makes it heavy here.
+// A subscriber spreads its calls over all daemons, so its usage at each of them
+// is small. The usage reported by peers must be added to the local usage.
 Test(usage_ledger, use_at_peers_counts_and_is_replaced_not_added) {
   UsageLedger ledger;
   ledger.Charge(kStart, "light", "s", 2);
@@ -61,8 +61,8 @@
             ledger.OrganisationRank("light"));
 }
 
-// What a peer served is that peer's to tell. Were it passed on, two daemons
-// would hear their own use back as the other's and double it every second.
+// Usage reported by a peer must not be sent on: otherwise two daemons would get
+// their own usage back from each other and double it with each exchange.
 Test(usage_ledger, heaviest_tells_local_use_only) {
   UsageLedger ledger;
   ledger.SetRemote(kStart, "peer", {{{"remote", ""}, 50}});
