--- a/packages/base/tests/error_kind_test.cc
+++ b/packages/base/tests/error_kind_test.cc
@@ -22,7 +22,7 @@
 
 // Callers retry on 503. A retry is safe only if no stage has run, so each 503
 // response to a caller must report not_run and have a Retry-After header.
-Test(error_kind, service_unavailable_says_not_run_and_when_to_return) {
+Test(error_kind, service_unavailable_reports_not_run_and_retry_after) {
   for (const auto& row : AllErrorAnswers()) {
     if (row.http_status != 503 || row.kind == ErrorKind::kPlatformUnreachable) {
       continue;
--- a/packages/decision/include/gentianroute/decision/profile.h
+++ b/packages/decision/include/gentianroute/decision/profile.h
@@ -19,15 +19,15 @@
 struct StageSpec {
   std::string name;
   std::string pool;
-  bool streams = false;
-  bool repeatable = true;
-  bool deduplicates_by_key = false;
+  bool streams = false;              ///< the response is a stream of tokens
+  bool repeatable = true;            ///< may run more than once for one request
+  bool deduplicates_by_key = false;  ///< servers ignore repeats of a call's key
   Duration first_byte_timeout = std::chrono::seconds(1);
   std::uint32_t max_attempts = 3;
-  Duration hedge_after{0};  ///< zero: never hedged
-  Duration expected{std::chrono::milliseconds(50)};
-  std::int64_t cost_per_call = 0;  ///< micro-euros
-  std::int64_t cost_per_unit = 0;  ///< micro-euros
+  Duration hedge_after{0};  ///< delay before a hedged call; zero: never hedged
+  Duration expected{std::chrono::milliseconds(50)};  ///< of one call
+  std::int64_t cost_per_call = 0;                    ///< micro-euros
+  std::int64_t cost_per_unit = 0;                    ///< micro-euros
 
   /// @brief Whether the stage may be called again after a call that may have
   /// run.
--- a/packages/decision/include/gentianroute/decision/server_table.h
+++ b/packages/decision/include/gentianroute/decision/server_table.h
@@ -89,7 +89,8 @@
   /// @brief Handles the load that a server reported in a response.
   void OnLoadReport(TimePoint now, Server& server, std::uint32_t load);
 
-  /// @brief Chooses an accepting server with a free slot.
+  /// @brief Chooses an accepting server with a free slot; an ejected one only
+  /// if there is no other.
   /// @return null if there is none
   /// @complexity constant in servers with kPredictedCompletion, which samples a
   /// few free servers of each tier; linear in servers with the other policies
--- a/packages/decision/src/leaving_news.cc
+++ b/packages/decision/src/leaving_news.cc
@@ -25,8 +25,7 @@
   for (auto& [server, entry] : entries_) {
     if (listed.contains(server)) {
       entry.ever_listed = true;
-      entry.absent_since =
-          kNever;  // listed again: restart the retention period
+      entry.absent_since = kNever;  // restarts the retention period
     } else if (entry.absent_since == kNever) {
       entry.absent_since = now;
     } else if (now - entry.absent_since >= options_.retention_period) {
--- a/packages/decision/tests/leaving_news_test.cc
+++ b/packages/decision/tests/leaving_news_test.cc
@@ -91,7 +91,7 @@
 // Hundreds of servers leave in one deployment. The digest must stay small, and
 // a daemon that was partitioned must still receive every entry within some
 // rounds.
-Test(leaving_news, many_leaving_servers_are_told_in_turn) {
+Test(leaving_news, many_leaving_servers_are_announced_in_rotation) {
   LeavingNews news;
   for (int i = 0; i < 200; ++i) {
     cr_assert(news.Add({"s" + std::to_string(i), 1}));
@@ -125,7 +125,7 @@
 
 // Two daemons remove an entry at different times. The later one sends it to the
 // other again; if that one sent it on, the entry would circulate for ever.
-Test(leaving_news, entry_that_own_list_never_named_is_not_passed_on) {
+Test(leaving_news, entry_never_in_own_list_is_not_announced) {
   LeavingNews news;
   news.OnHostList(At(0), {});
   news.Add({"s", 1});
--- a/packages/decision/tests/poll_schedule_test.cc
+++ b/packages/decision/tests/poll_schedule_test.cc
@@ -36,7 +36,7 @@
 // All three pollers are dead but still listed, so no daemon reads the log and
 // changes don't arrive. The others must poll when they have learned of no read
 // for some time, and at different times.
-Test(poll_schedule, silence_makes_the_others_poll_now_and_then) {
+Test(poll_schedule, no_known_read_makes_other_daemons_poll) {
   const auto names = Names(90);
   int polls = 0;
   for (const std::string& name : names) {
--- a/packages/decision/tests/pool_health_test.cc
+++ b/packages/decision/tests/pool_health_test.cc
@@ -47,7 +47,7 @@
 
 // A restart takes down all servers of a pool for a second. New requests must
 // wait for the pool like earlier ones.
-Test(pool_health, pool_away_for_a_second_is_waited_for) {
+Test(pool_health, requests_wait_for_pool_that_is_down_for_a_second) {
   Bench bench({HostOf("e1", "encode"), HostOf("e2", "encode")});
   bench.Submit(SubmissionOf("lookups", "first"));
   Refuse(bench, seconds(1));
--- a/packages/decision/tests/prefix_affinity_test.cc
+++ b/packages/decision/tests/prefix_affinity_test.cc
@@ -26,7 +26,7 @@
 // The engine evicts prefix 1 with event 6, which is lost; event 7 reveals the
 // gap. If prefix 1 were kept, calls would be routed to an engine that has to
 // prefill the whole prompt again.
-Test(prefix_affinity, gap_discards_what_was_believed_of_that_engine_only) {
+Test(prefix_affinity, gap_drops_prefixes_of_that_engine_only) {
   PrefixAffinity caches;
   caches.OnEvent({"e", 1, 5, kOne, {}});
   caches.OnEvent({"f", 1, 1, kOne, {}});
@@ -39,7 +39,7 @@
 // Event 4 is lost. It had one eviction at most, so only prefix 1, the oldest,
 // may be gone. If 2 and 3 were dropped too, an engine whose events are lost now
 // and then would rarely have any known prefix.
-Test(prefix_affinity, gap_of_one_event_keeps_all_but_the_oldest) {
+Test(prefix_affinity, gap_of_one_event_drops_the_oldest_only) {
   const std::vector<std::uint64_t> three = {3};
   PrefixAffinity caches;
   caches.OnEvent({"e", 1, 1, kOne, {}});
@@ -54,7 +54,7 @@
   cr_assert(caches.Holders(3).empty());
 }
 
-Test(prefix_affinity, restart_discards_and_old_event_changes_nothing) {
+Test(prefix_affinity, restart_drops_all_and_old_event_changes_nothing) {
   PrefixAffinity caches;
   caches.OnEvent({"e", 1, 5, kOne, {}});
   cr_assert_not(caches.OnEvent({"e", 2, 1, kTwo, {}}));
--- a/packages/decision/tests/server_table_test.cc
+++ b/packages/decision/tests/server_table_test.cc
@@ -59,7 +59,7 @@
 
 }  // namespace
 
-Test(server_table, full_servers_are_passed_over_and_come_back) {
+Test(server_table, full_server_is_skipped_until_slot_is_free) {
   Bench bench({Host("a", "near", 1), Host("b", "far", 1)});
   cr_assert_eq(bench.Pick(), "a");
   bench.table.OnStart(bench.At("a"));
@@ -88,7 +88,7 @@
 // A server restarts while a call to its old incarnation is in flight. When that
 // call ends, the old record must not be added to the free list, where the new
 // record already is.
-Test(server_table, old_incarnation_ends_call_stays_out) {
+Test(server_table, old_incarnation_ends_call_is_not_chosen) {
   Bench bench({Host("a", "near", 1)});
   const ServerRef old = bench.table.servers().at("a");
   bench.table.OnStart(*old);
@@ -99,7 +99,8 @@
   cr_assert_eq(bench.Pick(), "");
 }
 
-Test(server_table, thrifty_call_waits_for_near_server_until_deadline_presses) {
+Test(server_table,
+     cost_objective_waits_for_near_server_until_deadline_is_close) {
   Bench bench({Host("a", "near", 1), Host("b", "far", 1)});
   bench.table.OnStart(bench.At("a"));
   bench.context.objective = Objective::kCost;
@@ -168,7 +169,7 @@
 // A dead server refuses connections at once and has no calls in flight. If it
 // were ejected only after three refusals, it would have the best predicted
 // completion time until then and attract many calls.
-Test(server_table, one_refused_connection_puts_server_out_of_favour) {
+Test(server_table, one_refused_connection_ejects_server) {
   Bench bench({Host("a", "near"), Host("b", "near")});
   bench.table.OnStart(bench.At("a"));
   bench.table.OnFailure(kStart, bench.At("a"), true);
--- a/packages/decision/tests/usage_ledger_test.cc
+++ b/packages/decision/tests/usage_ledger_test.cc
@@ -14,14 +14,14 @@
 
 }  // namespace
 
-Test(usage_ledger, use_halves_every_half_life) {
+Test(usage_ledger, usage_halves_every_half_life) {
   UsageLedger ledger;
   ledger.Charge(kStart, "org", "s", 8);
   const auto heaviest = ledger.Heaviest(kStart + seconds(60), 1);
   cr_assert_float_eq(heaviest.at(0).cost, 2, 1e-9);
 }
 
-Test(usage_ledger, later_use_outranks_equal_earlier_use) {
+Test(usage_ledger, later_usage_outranks_equal_earlier_usage) {
   UsageLedger ledger;
   ledger.Charge(kStart, "early", "s", 1);
   ledger.Charge(kStart + seconds(30), "late", "s", 1);
@@ -46,7 +46,7 @@
 
 // A subscriber spreads its calls over all daemons, so its usage at each of them
 // is small. The usage reported by peers must be added to the local usage.
-Test(usage_ledger, use_at_peers_counts_and_is_replaced_not_added) {
+Test(usage_ledger, usage_at_peers_counts_and_is_replaced_not_added) {
   UsageLedger ledger;
   ledger.Charge(kStart, "light", "s", 2);
   ledger.Charge(kStart, "spread", "s", 1);
@@ -63,7 +63,7 @@
 
 // Usage reported by a peer must not be sent on: otherwise two daemons would get
 // their own usage back from each other and double it with each exchange.
-Test(usage_ledger, heaviest_tells_local_use_only) {
+Test(usage_ledger, heaviest_returns_local_usage_only) {
   UsageLedger ledger;
   ledger.SetRemote(kStart, "peer", {{{"remote", ""}, 50}});
   ledger.Charge(kStart, "local", "s", 1);
