--- a/packages/decision/include/gentianroute/decision/pool_health.h
+++ b/packages/decision/include/gentianroute/decision/pool_health.h
@@ -20,7 +20,7 @@
   struct Options {
     /// Consecutive failures, over all servers, of an unresponsive pool.
     std::uint32_t failure_threshold = 3;
-    /// Time since the first of these failures.
+    /// Minimum time since the first of these failures.
     Duration min_outage = std::chrono::seconds(2);
     Duration probe_period = std::chrono::milliseconds(500);
   };
