--- a/packages/decision/src/server_table.cc
+++ b/packages/decision/src/server_table.cc
@@ -27,7 +27,7 @@
 /// with the current stage only, a short first stage would use up the time of
 /// the later ones. The queue wait is subtracted so that a backlog that this
 /// region can't process in time moves to other regions while they are idle.
-constexpr double kNearWaitStageTimes = 12;
+constexpr double kNearWaitFactor = 12;
 /// Seconds of latency that a micro-euro of transfer price weighs, indexed by
 /// Objective.
 constexpr std::array<double, 2> kSecondsPerMicroEuro = {0.00001, 0.001};
@@ -228,7 +228,7 @@
   const Duration rest = std::max(context.expected, context.expected_remaining);
   return near && context.objective == Objective::kCost &&
          Seconds(context.remaining - context.queue_wait) >
-             kNearWaitStageTimes * Seconds(rest);
+             kNearWaitFactor * Seconds(rest);
 }
 
 void ServerTable::ConsiderPrefixHolders(const Query& query,
