--- a/apps/gentianctl/daemon_client.cc
+++ b/apps/gentianctl/daemon_client.cc
@@ -48,7 +48,7 @@
   call.body = std::move(body);
   const TimerId timer = loop.After(kCallTimeout, [&loop] { loop.Stop(); });
   loop.After(Duration{0}, [&] {
-    client.Call(std::move(call), CollectAnswer([&](HttpResult answer) {
+    client.Call(std::move(call), CollectResponse([&](HttpResult answer) {
                   result = std::move(answer);
                   loop.Stop();
                 }));
@@ -70,7 +70,7 @@
 
 leaf::result<json> Get(const Target& target, const std::string& path) {
   const HttpResult result = Call(target, "GET", path, {});
-  if (!result.whole) {
+  if (!result.complete) {
     return leaf::new_error(Failure{
         kExitUnreachable, target.Text() + " did not answer: " + result.detail});
   }
--- a/apps/gentianctl/drain.cc
+++ b/apps/gentianctl/drain.cc
@@ -6,7 +6,7 @@
   return Guarded(common.json, [&]() -> leaf::result<ExitCode> {
     constexpr int kAccepted = 202;
     const HttpResult result = Call(common.daemon, "POST", "/v1/drain", {});
-    if (!result.whole) {
+    if (!result.complete) {
       return leaf::new_error(
           Failure{kExitUnreachable,
                   common.daemon.Text() + " did not answer: " + result.detail});
--- a/apps/gentianctl/report.cc
+++ b/apps/gentianctl/report.cc
@@ -16,7 +16,7 @@
   for (const Target& target : targets) {
     const HttpResult result = Call(target, "GET", "/v1/report", {});
     json report = json::parse(result.body, nullptr, false);
-    if (result.whole && report.is_object() && report.contains("services")) {
+    if (result.complete && report.is_object() && report.contains("services")) {
       reports.push_back(std::move(report));
     } else {
       unreachable.push_back(target.Text());
--- a/apps/gentianctl/submit.cc
+++ b/apps/gentianctl/submit.cc
@@ -52,12 +52,12 @@
                                  const std::string& change_id) {
   const HttpResult result = Call(common.daemon, "POST", "/v1/apply",
                                  ChangeOf(plan, author, change_id).dump());
-  if (!result.whole || result.status == kUnavailable) {
+  if (!result.complete || result.status == kUnavailable) {
     // The change may be in the log although its answer was lost; the id makes
     // a second try the same change.
     return leaf::new_error(Failure{
         kExitUnreachable,
-        (result.whole ? ProblemText(result) : result.detail) +
+        (result.complete ? ProblemText(result) : result.detail) +
             "\nThe change may or may not stand. Try again with --change-id " +
             change_id,
         {{"change_id", change_id}}});
--- a/apps/gentianctl/wait.cc
+++ b/apps/gentianctl/wait.cc
@@ -32,7 +32,7 @@
                 bool with_peers) {
   const HttpResult result = Call(target, "GET", "/status", {});
   const json status = json::parse(result.body, nullptr, false);
-  if (!result.whole || !status.is_object()) {
+  if (!result.complete || !status.is_object()) {
     Note(waited, wanted, target.Text(), 0, true);
     return;
   }
--- a/apps/gentianroute/main.cc
+++ b/apps/gentianroute/main.cc
@@ -49,7 +49,7 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-  EventLoop::HoldSignals({SIGTERM, SIGINT});
+  EventLoop::BlockSignals({SIGTERM, SIGINT});
   CLI::App app{"gentianroute serves multi-stage model pipelines"};
   std::string file;
   bool check_only = false;
--- a/packages/entry/src/backend_calls.cc
+++ b/packages/entry/src/backend_calls.cc
@@ -65,7 +65,7 @@
   Observer(BackendCalls& owner, AttemptId attempt)
       : owner_(owner), attempt_(attempt) {}
 
-  void OnWriting() override { owner_.coordinator_.OnWritten(attempt_); }
+  void OnConnected() override { owner_.coordinator_.OnWritten(attempt_); }
   void OnHead(int status, const HttpHeaders& headers) override {
     answer_ = AnswerOf(attempt_, status, headers);
   }
@@ -197,8 +197,8 @@
     client_.Cancel(call);
   }
   if (cancel.condemn_connections) {
-    client_.CondemnConnections(cancel.server->host.address,
-                               cancel.server->host.port);
+    client_.DiscardIdleConnections(cancel.server->host.address,
+                                   cancel.server->host.port);
   }
 }
 
--- a/packages/entry/src/cache_sync.cc
+++ b/packages/entry/src/cache_sync.cc
@@ -107,7 +107,7 @@
   // engine would never be asked again; a new connection works.
   if (engine.asking && loop_.Now() >= engine.asked + kAnswersWithin) {
     client_.Cancel(engine.call);
-    client_.CondemnConnections(server.host.address, server.host.port);
+    client_.DiscardIdleConnections(server.host.address, server.host.port);
     engine.asking = false;
   }
 }
@@ -119,11 +119,11 @@
   call.path = "/v1/cache-events?after=" + std::to_string(engine.sequence);
   engine.asking = true;
   engine.asked = loop_.Now();
-  engine.call = client_.Call(
-      std::move(call),
-      CollectAnswer([this, name = server.host.name](const HttpResult& result) {
-        OnAnswer(name, result);
-      }));
+  engine.call = client_.Call(std::move(call),
+                             CollectResponse([this, name = server.host.name](
+                                                 const HttpResult& result) {
+                               OnAnswer(name, result);
+                             }));
 }
 
 void CacheSync::OnAnswer(const std::string& name, const HttpResult& result) {
@@ -132,7 +132,7 @@
     return;
   }
   found->second.asking = false;
-  if (!result.whole || result.status != kOk) {
+  if (!result.complete || result.status != kOk) {
     return;
   }
   try {
--- a/packages/entry/src/caller_api.cc
+++ b/packages/entry/src/caller_api.cc
@@ -297,10 +297,10 @@
                        std::shared_ptr<HttpResponder> responder) {
   const bool wants_stream = submission.wants_stream;
   const RequestId id =
-      coordinator_.Submit(loop_.Now(), loop_.Wall(), std::move(submission));
+      coordinator_.Submit(loop_.Now(), loop_.WallTime(), std::move(submission));
   HttpResponder& reference = *responder;
   exchanges_[id] = {std::move(responder), PublicId(id), wants_stream, false};
-  reference.OnGone([this, id] {
+  reference.SetOnDisconnect([this, id] {
     exchanges_.erase(id);
     coordinator_.OnCallerGone(loop_.Now(), id);
     touched_();
--- a/packages/entry/src/daemon.cc
+++ b/packages/entry/src/daemon.cc
@@ -21,7 +21,7 @@
 
 /// Service levels outlive the process, so their time is the wall clock's.
 TimePoint WallPoint(const EventLoop& loop) {
-  return TimePoint{Duration(loop.Wall())};
+  return TimePoint{Duration(loop.WallTime())};
 }
 
 }  // namespace
@@ -29,7 +29,7 @@
 Daemon::Daemon(EventLoop& loop, const Settings& settings)
     : loop_(loop),
       settings_(settings),
-      incarnation_(static_cast<std::uint64_t>(loop.Wall())),
+      incarnation_(static_cast<std::uint64_t>(loop.WallTime())),
       client_(loop),
       platform_(loop,
                 client_,
@@ -340,7 +340,7 @@
           {"revision", follower_.revision()},
           {"peer_revisions", peer_revisions_.ToJson(now)},
           {"counting_since_unix_micros", incarnation_},
-          {"at_unix_micros", loop_.Wall()},
+          {"at_unix_micros", loop_.WallTime()},
           {"attainment_target", settings_.get().getSlo().getAttainmentTarget()},
           {"services", ServicesReport(levels_, WallPoint(loop_))},
           {"stages", StagesReport(metrics_)},
--- a/packages/entry/src/daemon_options.cc
+++ b/packages/entry/src/daemon_options.cc
@@ -37,7 +37,7 @@
   options.key_file = listener.getKeyFile().cStr();
   options.max_body = limits.getMaxBodyBytes();
   options.max_connections = limits.getMaxConnections();
-  options.turned_down = &ProblemForStatus;
+  options.make_error_response = &ProblemForStatus;
   return options;
 }
 
--- a/packages/entry/src/history_sync.cc
+++ b/packages/entry/src/history_sync.cc
@@ -33,7 +33,7 @@
       return;
     }
     read_ = true;
-    const TimePoint now{Duration(loop_.Wall())};
+    const TimePoint now{Duration(loop_.WallTime())};
     if (result.content.has_value() && !levels_.Import(now, *result.content)) {
       LogEvent("history_unreadable", LogLevel::kWarning)
           .Field("object", object_);
--- a/packages/entry/src/operator_api.cc
+++ b/packages/entry/src/operator_api.cc
@@ -187,7 +187,7 @@
     responder->Send(ProblemResponse(ErrorKind::kInvalidSettings, error, "-"));
     return;
   }
-  change->applied_at = loop_.Wall();
+  change->applied_at = loop_.WallTime();
   const std::string id = change->change_id;
   handler_.Apply(std::move(*change), [responder, id](const ConfigApply& apply) {
     switch (apply.state()) {
--- a/packages/entry/src/order_sync.cc
+++ b/packages/entry/src/order_sync.cc
@@ -24,7 +24,7 @@
 }
 
 std::optional<EngineState> StateOf(const HttpResult& result) {
-  if (!result.whole || result.status != kOk) {
+  if (!result.complete || result.status != kOk) {
     return std::nullopt;
   }
   try {
@@ -77,7 +77,7 @@
         order_(std::move(order)),
         call_(std::move(call)) {}
 
-  void OnWriting() override {
+  void OnConnected() override {
     if (!pool_->orders.MayWrite(owner_.loop_.Now(), pool_->lease, order_)) {
       owner_.client_.Cancel(*call_);
     }
@@ -225,7 +225,7 @@
   call.path = "/v1/state";
   auto id = std::make_shared<HttpCallId>();
   *id = client_.Call(std::move(call),
-                     CollectAnswer([pool, engine](const HttpResult& result) {
+                     CollectResponse([pool, engine](const HttpResult& result) {
                        pool->orders.OnState(engine, StateOf(result));
                      }));
   Limit(id);
--- a/packages/gateway/include/gentianroute/gateway/detail/gateway_impl.h
+++ b/packages/gateway/include/gentianroute/gateway/detail/gateway_impl.h
@@ -83,7 +83,7 @@
     LogEvent("started")
         .Field("daemon", settings_.name)
         .Field("data_centre", settings_.data_centre)
-        .Field("callers", settings_.callers.Text());
+        .Field("callers", settings_.callers.ToString());
   }
   ~Impl() override { loop_.Cancel(housekeeping_); }
 
@@ -93,7 +93,7 @@
     }
     LogEvent("drain_begun")
         .Field("connections", callers_->connections())
-        .Field("active", callers_->active());
+        .Field("active", callers_->active_requests());
     const TimePoint now = loop_.Now();
     drain_ = {now + detail::kBalancerNotices,
               now + settings_.drain_grace - detail::kGraceMargin};
@@ -198,10 +198,10 @@
 
   void AnswerReadiness(RelayExchange& exchange) {
     if (!translator_.IsReadinessQuestion(exchange.head())) {
-      exchange.Answer(detail::kNotFound, {}, "");
+      exchange.Respond(detail::kNotFound, {}, "");
       return;
     }
-    exchange.Answer(ready() ? detail::kOk : detail::kUnavailable, {}, "");
+    exchange.Respond(ready() ? detail::kOk : detail::kUnavailable, {}, "");
   }
 
   void AnswerMetrics(RelayExchange& exchange);
@@ -311,9 +311,9 @@
                   TimePoint latest,
                   std::function<void()> done) {
     const TimePoint now = loop_.Now();
-    const bool idle = callers_->active() == 0;
+    const bool idle = callers_->active_requests() == 0;
     if ((idle && now >= earliest) || now >= latest) {
-      LogEvent("drain_ended").Field("left", callers_->active());
+      LogEvent("drain_ended").Field("left", callers_->active_requests());
       while (!flows_.empty()) {
         flows_.front().OnShutdown();
       }
--- a/packages/gateway/include/gentianroute/gateway/stage_desk.h
+++ b/packages/gateway/include/gentianroute/gateway/stage_desk.h
@@ -63,7 +63,7 @@
   static void TellCall(const Pool& pool,
                        const routing::StageCall& call,
                        std::span<const StagePieceRequest> pieces);
-  StageAnswer ReadEnd(const Pool& pool, const RelayFetchEnd& end) const;
+  StageAnswer ReadEnd(const Pool& pool, const RelayFetchResult& end) const;
   void OnCallEnd(Pool& pool,
                  routing::StageCallId call,
                  const StageAnswer& answer);
--- a/packages/gateway/src/gateway.cc
+++ b/packages/gateway/src/gateway.cc
@@ -29,13 +29,13 @@
   gauge("gentianroute_gateway_daemons", "Daemons that are alive.",
         static_cast<double>(cluster_.live_daemons()));
   gauge("gentianroute_gateway_active_requests", "Requests under way.",
-        static_cast<double>(callers_->active()));
+        static_cast<double>(callers_->active_requests()));
   gauge("gentianroute_gateway_stage_calls", "Stage calls sent.",
         static_cast<double>(desk_.calls_sent()));
   gauge("gentianroute_gateway_stage_pieces", "Stage pieces sent.",
         static_cast<double>(desk_.pieces_sent()));
-  exchange.Answer(detail::kOk, {{"Content-Type", "text/plain; version=0.0.4"}},
-                  writer.text());
+  exchange.Respond(detail::kOk, {{"Content-Type", "text/plain; version=0.0.4"}},
+                   writer.text());
 }
 
 Gateway::Gateway(EventLoop& loop,
--- a/packages/gateway/src/peer_calls.cc
+++ b/packages/gateway/src/peer_calls.cc
@@ -91,7 +91,7 @@
 void PeerCalls::OnBroken(Connection& connection) {
   connection.broken = true;
   connection.failures =
-      connection.rpc->has_stood() ? 0 : connection.failures + 1;
+      connection.rpc->was_connected() ? 0 : connection.failures + 1;
   // The connection must not be destroyed by its own callback.
   loop_.Cancel(sweep_timer_);
   sweep_timer_ = loop_.After(Duration{0}, [this] { SweepBroken(); });
--- a/packages/gateway/src/request_flow.cc
+++ b/packages/gateway/src/request_flow.cc
@@ -61,9 +61,9 @@
       exchange_(std::move(exchange)),
       table_(std::move(table)),
       request_(services.translator.ReadRequest(exchange_->head())),
-      began_(exchange_->began()) {
+      began_(exchange_->start_time()) {
   all.push_back(*this);
-  exchange_->SetOnGone([this] { OnCallerGone(); });
+  exchange_->SetOnDisconnect([this] { OnCallerGone(); });
 }
 
 RequestFlow::~RequestFlow() = default;
@@ -232,7 +232,7 @@
   if (retry_after) {
     retry_after = std::clamp(*retry_after, kShortestWait, kLongestWait);
   }
-  exchange_->Answer(
+  exchange_->Respond(
       answer.http_status,
       services_.translator.OwnAnswerFields(request_.id, retry_after),
       ProblemBody(kind, detail, request_.id));
@@ -248,7 +248,7 @@
     return;
   }
   constexpr int kBadGateway = 502;
-  exchange_->Answer(
+  exchange_->Respond(
       kBadGateway,
       services_.translator.OwnAnswerFields(request_.id, std::nullopt),
       ProblemBody(kind, detail, request_.id));
@@ -316,7 +316,7 @@
   if (send_ != nullptr) {
     send_->Drop();
   }
-  exchange_->SetOnGone(nullptr);
+  exchange_->SetOnDisconnect(nullptr);
 }
 
 }  // namespace gentianroute::gateway
--- a/packages/gateway/src/request_flow_sends.cc
+++ b/packages/gateway/src/request_flow_sends.cc
@@ -60,10 +60,11 @@
   const bool bodiless =
       body.empty() && (head.method == "GET" || head.method == "HEAD" ||
                        head.method == "DELETE");
-  return RequestHeadText(head.method, head.target,
-                         services_.translator.ServerFields(request_, added),
-                         bodiless ? BodyFraming::kNone : BodyFraming::kLength,
-                         body.size()) +
+  return SerialiseRequestHead(
+             head.method, head.target,
+             services_.translator.ServerFields(request_, added),
+             bodiless ? BodyFraming::kNone : BodyFraming::kLength,
+             body.size()) +
          body;
 }
 
@@ -78,10 +79,10 @@
   RelayCall call;
   call.endpoint = {record.address, record.port};
   call.message = MessageFor(*choice.server);
-  call.answer_has_no_body = exchange_->head().method == "HEAD";
-  call.reuse_within = repeatable() ? kReuse : kReuseOnce;
-  call.is_ours = [&translator = services_.translator,
-                  id = request_.id](const MessageHead& head) {
+  call.response_has_no_body = exchange_->head().method == "HEAD";
+  call.max_idle = repeatable() ? kReuse : kReuseOnce;
+  call.matches_response = [&translator = services_.translator,
+                           id = request_.id](const MessageHead& head) {
     return translator.IsAnswerTo(head, id);
   };
   RequestSent sent;
@@ -273,7 +274,7 @@
     }
   }
   services_.suspects.OnAnswered(fingerprint_);
-  exchange_->Answer(answer_.status, answer_.passed_on, body_);
+  exchange_->Respond(answer_.status, answer_.passed_on, body_);
   first_at_ = first_at_ == TimePoint{} ? now : first_at_;
   Finish(failed ? "server_failure" : "answered", answer_.status, "");
 }
--- a/packages/gateway/src/result_releases.cc
+++ b/packages/gateway/src/result_releases.cc
@@ -52,11 +52,12 @@
   call.endpoint = server;
   call.message = translator_.ReleaseMessage(server, results);
   // A lost release costs room for some seconds only; it is not repeated.
-  fetches_.Start(std::move(call), kCallTimeout, [](const RelayFetchEnd& end) {
-    if (!end.whole) {
-      LogEvent("release_lost", LogLevel::kWarning);
-    }
-  });
+  fetches_.Start(std::move(call), kCallTimeout,
+                 [](const RelayFetchResult& end) {
+                   if (!end.complete) {
+                     LogEvent("release_lost", LogLevel::kWarning);
+                   }
+                 });
 }
 
 }  // namespace gentianroute::gateway
--- a/packages/gateway/src/stage_desk.cc
+++ b/packages/gateway/src/stage_desk.cc
@@ -150,14 +150,14 @@
   // A server may send a second answer to a call, late. On a kept connection it
   // would arrive as the answer to the next call, whose pieces then got another
   // request's results; a stage answer bears no id that would tell.
-  out.reuse_within = Duration{0};
-  out.keep = false;
+  out.max_idle = Duration{0};
+  out.keep_connection = false;
   out.message = translator_.StageCallMessage(out.endpoint, server.id, pieces);
   ++calls_sent_;
   pieces_sent_ += pieces.size();
   TellCall(pool, call, pieces);
   fetches_.Start(std::move(out), call.give_up_after,
-                 [this, &pool, id = call.id](const RelayFetchEnd& end) {
+                 [this, &pool, id = call.id](const RelayFetchResult& end) {
                    OnCallEnd(pool, id, ReadEnd(pool, end));
                  });
 }
@@ -186,8 +186,8 @@
 }
 
 StageAnswer StageDesk::ReadEnd(const Pool& pool,
-                               const RelayFetchEnd& end) const {
-  if (end.whole) {
+                               const RelayFetchResult& end) const {
+  if (end.complete) {
     return translator_.ReadStageAnswer(end.head, end.body);
   }
   if (end.failure) {
--- a/packages/gateway/src/start_queue.cc
+++ b/packages/gateway/src/start_queue.cc
@@ -16,7 +16,7 @@
   auto* waiting = new Waiting;
   waiting->exchange = exchange;
   waiting_.push_back(*waiting);
-  exchange->SetOnGone([this, waiting] { Drop(*waiting); });
+  exchange->SetOnDisconnect([this, waiting] { Drop(*waiting); });
   return true;
 }
 
@@ -26,7 +26,7 @@
   }
   Waiting& first = waiting_.front();
   RelayExchangePtr exchange = first.exchange;
-  exchange->SetOnGone(nullptr);
+  exchange->SetOnDisconnect(nullptr);
   Drop(first);
   return exchange;
 }
--- a/packages/gateway/tests/start_queue_test.cc
+++ b/packages/gateway/tests/start_queue_test.cc
@@ -15,7 +15,7 @@
 /// A caller's request that nobody answers here.
 class FakeExchange final : public RelayExchange {
  public:
-  void Answer(int, const HttpHeaders&, std::string_view) override {}
+  void Respond(int, const HttpHeaders&, std::string_view) override {}
   void Begin(int, const HttpHeaders&) override {}
   void Write(std::string_view) override {}
   void End() override {}
--- a/packages/loop/include/gentianroute/loop/event_loop.h
+++ b/packages/loop/include/gentianroute/loop/event_loop.h
@@ -38,8 +38,8 @@
 
   /// @brief Time since the loop was made; monotonic.
   TimePoint Now() const;
-  /// @brief Wall-clock time, only for rows that others read.
-  UnixMicros Wall() const;
+  /// @brief WallTime-clock time, only for rows that others read.
+  UnixMicros WallTime() const;
 
   /// @brief Calls back once, not before `due`.
   TimerId At(TimePoint due, Callback callback);
@@ -53,7 +53,7 @@
   /// For the first thing that a program does: one that is told to stop, or that
   /// its settings have changed, in the moments of its start would end by the
   /// signal, as if it had failed.
-  static void HoldSignals(std::initializer_list<int> signals);
+  static void BlockSignals(std::initializer_list<int> signals);
   /// @brief Calls back on a signal; the signal is blocked otherwise.
   void OnSignal(int signal, Callback callback);
 
@@ -78,14 +78,14 @@
   kj::WaitScope& wait_scope() { return *wait_scope_; }
 
  private:
-  class Port;
+  class H2oEventPort;
 
   void RunDueTimers();
   std::int32_t MaxWaitMilliseconds() const;
 
   st_h2o_evloop_t* h2o_;
   std::int64_t started_nanos_;
-  std::unique_ptr<Port> port_;
+  std::unique_ptr<H2oEventPort> event_port_;
   std::unique_ptr<kj::EventLoop> kj_loop_;
   std::unique_ptr<kj::WaitScope> wait_scope_;
   kj::Own<kj::PromiseFulfiller<void>> stop_;
--- a/packages/loop/include/gentianroute/loop/h2o_http_client.h
+++ b/packages/loop/include/gentianroute/loop/h2o_http_client.h
@@ -29,8 +29,8 @@
   HttpCallId Call(HttpCall call,
                   std::unique_ptr<HttpCallObserver> observer) override;
   void Cancel(HttpCallId call) override;
-  void CondemnConnections(std::string_view address,
-                          std::uint16_t port) override;
+  void DiscardIdleConnections(std::string_view address,
+                              std::uint16_t port) override;
 
  private:
   class Impl;
--- a/packages/loop/include/gentianroute/loop/http.h
+++ b/packages/loop/include/gentianroute/loop/http.h
@@ -30,7 +30,7 @@
   std::string query;  ///< without the question mark
   HttpHeaders headers;
   std::string body;
-  std::uint64_t connection = 0;  ///< rises with each new connection
+  std::uint64_t connection_id = 0;  ///< rises with each new connection
   /// Came over one connection more than the server takes; to be refused.
   bool over_limit = false;
 };
@@ -55,7 +55,7 @@
   /// @brief Closes the connection at once, whatever was sent so far.
   virtual void Abort() = 0;
   /// @brief Called once if the connection closes before the answer is sent.
-  virtual void OnGone(std::function<void()> callback) = 0;
+  virtual void SetOnDisconnect(std::function<void()> callback) = 0;
 };
 
 using HttpHandler =
@@ -87,7 +87,7 @@
  public:
   virtual ~HttpCallObserver() = default;
   /// @brief The connection stands and the first byte is about to go.
-  virtual void OnWriting() {}
+  virtual void OnConnected() {}
   virtual void OnHead(int status, const HttpHeaders& headers) = 0;
   virtual void OnBody(std::string_view part) = 0;
   virtual void OnDone() = 0;
@@ -103,21 +103,21 @@
   /// @brief Ends a call; its observer is destroyed and hears nothing more.
   virtual void Cancel(HttpCallId call) = 0;
   /// @brief Uses none of the present idle connections to a server again.
-  virtual void CondemnConnections(std::string_view address,
-                                  std::uint16_t port) = 0;
+  virtual void DiscardIdleConnections(std::string_view address,
+                                      std::uint16_t port) = 0;
 };
 
 /// @brief Collects a whole answer and hands it on in one piece.
 /// @param done called once; `error` is null for a whole answer
 struct HttpResult {
-  bool whole = false;
+  bool complete = false;
   HttpCallError error = HttpCallError::kConnect;
   std::string detail;
   int status = 0;
   HttpHeaders headers;
   std::string body;
 };
-std::unique_ptr<HttpCallObserver> CollectAnswer(
+std::unique_ptr<HttpCallObserver> CollectResponse(
     std::function<void(HttpResult)> done);
 
 }  // namespace gentianroute
--- a/packages/loop/include/gentianroute/loop/http_server.h
+++ b/packages/loop/include/gentianroute/loop/http_server.h
@@ -24,7 +24,7 @@
     std::size_t max_connections = 4096;
     /// Makes the answer to a request that h2o itself turns down, such as a body
     /// over the limit; null: h2o's own text.
-    std::function<HttpResponse(int status)> turned_down;
+    std::function<HttpResponse(int status)> make_error_response;
   };
 
   /// @throws std::runtime_error if the address or the certificate can't be
--- a/packages/loop/include/gentianroute/loop/ipv4_address.h
+++ b/packages/loop/include/gentianroute/loop/ipv4_address.h
@@ -14,9 +14,9 @@
 /// @brief A socket address of an IP number and a port.
 /// @return nothing if the text is no IP number
 ///
-/// @example Ipv4Address("127.0.0.1", 80)
-inline std::optional<sockaddr_in> Ipv4Address(std::string_view number,
-                                              std::uint16_t port) {
+/// @example ParseIpv4Address("127.0.0.1", 80)
+inline std::optional<sockaddr_in> ParseIpv4Address(std::string_view number,
+                                                   std::uint16_t port) {
   sockaddr_in address{};
   address.sin_family = AF_INET;
   address.sin_port = htons(port);
--- a/packages/loop/include/gentianroute/loop/message_parser.h
+++ b/packages/loop/include/gentianroute/loop/message_parser.h
@@ -39,7 +39,7 @@
 /// sent early waits, and bytes after an answer can be seen for what they are.
 class MessageParser {
  public:
-  enum class Kind : std::uint8_t { kRequest, kAnswer };
+  enum class Kind : std::uint8_t { kRequest, kResponse };
   enum class Event : std::uint8_t {
     kNeedMore,
     kHead,
@@ -59,18 +59,18 @@
 
   void Feed(std::string_view data);
   /// @brief The far end closed in order: ends a body without a length.
-  void FeedEnd();
+  void FeedEof();
   /// @brief The next thing in the bytes so far; call until kNeedMore.
   Event Poll();
   /// @brief Begins the message after one that is whole.
-  void Next(Limits limits);
+  void StartNext(Limits limits);
 
   /// @brief Valid after kHead, until Next().
   MessageHead& head();
   /// @brief The part of the body that kBody announced.
   const std::string& body() const;
   /// @brief Whether any byte of the present message has arrived.
-  bool begun() const;
+  bool started() const;
 
  private:
   class Impl;
--- a/packages/loop/include/gentianroute/loop/message_text.h
+++ b/packages/loop/include/gentianroute/loop/message_text.h
@@ -18,27 +18,27 @@
 
 /// @brief Head of a request, up to and with the empty line.
 /// @param body_bytes used with kLength
-std::string RequestHeadText(std::string_view method,
-                            std::string_view target,
-                            const HttpHeaders& fields,
-                            BodyFraming framing,
-                            std::size_t body_bytes);
+std::string SerialiseRequestHead(std::string_view method,
+                                 std::string_view target,
+                                 const HttpHeaders& fields,
+                                 BodyFraming framing,
+                                 std::size_t body_bytes);
 
 /// @brief Head of an answer, up to and with the empty line.
 /// @param close whether the connection ends with this answer
-std::string AnswerHeadText(int status,
-                           const HttpHeaders& fields,
-                           BodyFraming framing,
-                           std::size_t body_bytes,
-                           bool close);
+std::string SerialiseResponseHead(int status,
+                                  const HttpHeaders& fields,
+                                  BodyFraming framing,
+                                  std::size_t body_bytes,
+                                  bool close);
 
 /// @brief One chunk with its size line.
-std::string ChunkText(std::string_view data);
+std::string SerialiseChunk(std::string_view data);
 inline constexpr std::string_view kLastChunk = "0\r\n\r\n";
 
 /// @brief Whether a field concerns only the connection that it came on, by its
 /// name or because the sender's `Connection` field names it.
-bool IsConnectionField(std::string_view name, std::string_view connection);
+bool IsHopByHopField(std::string_view name, std::string_view connection);
 
 }  // namespace gentianroute
 
--- a/packages/loop/include/gentianroute/loop/relay_client.h
+++ b/packages/loop/include/gentianroute/loop/relay_client.h
@@ -21,22 +21,22 @@
   std::uint16_t port = 0;
 
   friend auto operator<=>(const Endpoint&, const Endpoint&) = default;
-  std::string Text() const { return address + ":" + std::to_string(port); }
+  std::string ToString() const { return address + ":" + std::to_string(port); }
 };
 
 /// @brief One call, as the bytes that go out.
 struct RelayCall {
   Endpoint endpoint;
-  std::string message;              ///< the whole request, head and body
-  bool answer_has_no_body = false;  ///< the request was a HEAD
+  std::string message;                ///< the whole request, head and body
+  bool response_has_no_body = false;  ///< the request was a HEAD
   /// An idle connection is used only if it has been idle for less; zero: a
   /// fresh connection, whose failure is never a close that crossed the call.
-  Duration reuse_within = std::chrono::seconds(4);
+  Duration max_idle = std::chrono::seconds(4);
   /// Whether the connection may serve another call later.
-  bool keep = true;
+  bool keep_connection = true;
   /// Tells the answer of this call from a stray one of a call before it; a
   /// stray one is dropped. Null: the first answer is taken.
-  std::function<bool(const MessageHead&)> is_ours;
+  std::function<bool(const MessageHead&)> matches_response;
 };
 
 using RelayCallId = Id<struct RelayCallTag>;
--- a/packages/loop/include/gentianroute/loop/relay_fetches.h
+++ b/packages/loop/include/gentianroute/loop/relay_fetches.h
@@ -14,8 +14,8 @@
 namespace gentianroute {
 
 /// @brief What one call came back with.
-struct RelayFetchEnd {
-  bool whole = false;  ///< else `head` and `body` say nothing
+struct RelayFetchResult {
+  bool complete = false;  ///< else `head` and `body` say nothing
   /// How it broke; empty if no answer came in time.
   std::optional<RelayFailure> failure;
   MessageHead head;
@@ -26,7 +26,7 @@
 /// limit. A call that is given up is closed.
 class RelayFetches {
  public:
-  using Done = std::function<void(RelayFetchEnd)>;
+  using Done = std::function<void(RelayFetchResult)>;
 
   RelayFetches(EventLoop& loop, RelayClient& client);
   ~RelayFetches();
--- a/packages/loop/include/gentianroute/loop/relay_server.h
+++ b/packages/loop/include/gentianroute/loop/relay_server.h
@@ -31,17 +31,17 @@
   const MessageHead& head() const { return head_; }
   const std::string& body() const { return body_; }
   /// @brief When the first byte of the request arrived.
-  TimePoint began() const { return began_; }
+  TimePoint start_time() const { return start_time_; }
 
   /// @brief Called once if the caller closes before it has its answer.
-  void SetOnGone(std::function<void()> callback) {
-    on_gone_ = std::move(callback);
+  void SetOnDisconnect(std::function<void()> callback) {
+    on_disconnect_ = std::move(callback);
   }
 
   /// @brief The whole answer. Nothing happens if the caller has gone.
-  virtual void Answer(int status,
-                      const HttpHeaders& fields,
-                      std::string_view body) = 0;
+  virtual void Respond(int status,
+                       const HttpHeaders& fields,
+                       std::string_view body) = 0;
   /// @brief Begins an answer in parts; Write() and End() or Abort() follow.
   virtual void Begin(int status, const HttpHeaders& fields) = 0;
   virtual void Write(std::string_view part) = 0;
@@ -52,8 +52,8 @@
  protected:
   MessageHead head_;
   std::string body_;
-  TimePoint began_{};
-  std::function<void()> on_gone_;
+  TimePoint start_time_{};
+  std::function<void()> on_disconnect_;
 };
 using RelayExchangePtr = boost::intrusive_ptr<RelayExchange>;
 
@@ -78,7 +78,7 @@
   std::uint16_t port() const;
   std::size_t connections() const;
   /// @brief Requests that are being read or answered.
-  std::size_t active() const;
+  std::size_t active_requests() const;
 
   /// @brief Every answer from now on ends its connection.
   void AnnounceClose();
--- a/packages/loop/include/gentianroute/loop/rpc.h
+++ b/packages/loop/include/gentianroute/loop/rpc.h
@@ -46,7 +46,7 @@
 
   bool connected() const;
   /// @brief Whether it was ever connected.
-  bool has_stood() const;
+  bool was_connected() const;
   /// @brief The far end's capability. Calls on it wait for the connection while
   /// that is being made, and fail once it is broken.
   capnp::Capability::Client bootstrap();
--- a/packages/loop/include/gentianroute/loop/socket_options.h
+++ b/packages/loop/include/gentianroute/loop/socket_options.h
@@ -8,7 +8,7 @@
 /// Something between two ends can lose track of a connection: what is sent on
 /// it then waits for ever, while new connections work. Unacknowledged bytes and
 /// unanswered probes end it instead, within a few seconds.
-void EndWhenSilent(int descriptor);
+void EnableDeadPeerDetection(int descriptor);
 
 }  // namespace gentianroute
 
--- a/packages/loop/include/gentianroute/loop/stream_socket.h
+++ b/packages/loop/include/gentianroute/loop/stream_socket.h
@@ -51,14 +51,16 @@
   /// @brief Ends this direction; the far end's is still read.
   void ShutdownWrite();
   /// @brief Bytes that the kernel has not taken yet.
-  std::size_t pending() const { return queued_.size() + in_flight_.size(); }
+  std::size_t unsent_bytes() const {
+    return queued_.size() + in_flight_.size();
+  }
   bool connected() const { return connected_; }
 
  private:
   static void OnReadable(st_h2o_socket_t* socket, const char* error);
   static void OnWritten(st_h2o_socket_t* socket, const char* error);
   static void OnConnect(st_h2o_socket_t* socket, const char* error);
-  void Adopt();
+  void StartReading();
   void Flush();
 
   Observer& observer_;
--- a/packages/loop/src/datagram_socket.cc
+++ b/packages/loop/src/datagram_socket.cc
@@ -17,7 +17,7 @@
 namespace gentianroute {
 namespace {
 
-constexpr std::size_t kLargestMessage = 64 * 1024;
+constexpr std::size_t kMaxMessageBytes = 64 * 1024;
 
 }  // namespace
 
@@ -28,13 +28,13 @@
     : receiver_(std::move(receiver)),
       descriptor_(
           socket(AF_INET, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0)) {
-  auto own = Ipv4Address(address, port);
+  auto local = ParseIpv4Address(address, port);
   const bool bound =
-      own &&
-      bind(descriptor_, reinterpret_cast<sockaddr*>(&*own), sizeof(*own)) == 0;
+      local && bind(descriptor_, reinterpret_cast<sockaddr*>(&*local),
+                    sizeof(*local)) == 0;
   if (!bound) {
     const std::string reason =
-        own ? std::strerror(errno) : "that is not an IP number";
+        local ? std::strerror(errno) : "that is not an IP number";
     close(descriptor_);
     throw std::runtime_error("can't receive datagrams on " +
                              std::string(address) + ":" + std::to_string(port) +
@@ -53,7 +53,7 @@
 void DatagramSocket::Send(std::string_view address,
                           std::uint16_t port,
                           std::span<const std::byte> message) {
-  auto target = Ipv4Address(address, port);
+  auto target = ParseIpv4Address(address, port);
   if (target) {
     sendto(descriptor_, message.data(), message.size(), MSG_DONTWAIT,
            reinterpret_cast<sockaddr*>(&*target), sizeof(*target));
@@ -65,7 +65,7 @@
     return;
   }
   auto* self = static_cast<DatagramSocket*>(socket->data);
-  static std::array<std::byte, kLargestMessage> buffer;
+  static std::array<std::byte, kMaxMessageBytes> buffer;
   while (true) {
     const ssize_t size =
         recv(self->descriptor_, buffer.data(), buffer.size(), MSG_DONTWAIT);
--- a/packages/loop/src/event_loop.cc
+++ b/packages/loop/src/event_loop.cc
@@ -22,7 +22,7 @@
 namespace {
 
 constexpr int kBacklog = 1024;
-constexpr std::int32_t kLongestWaitMilliseconds = 1000;
+constexpr std::int32_t kMaxWaitMilliseconds = 1000;
 
 std::int64_t NanosOf(clockid_t clock) {
   constexpr std::int64_t kNanosPerSecond = 1'000'000'000;
@@ -33,24 +33,24 @@
 
 }  // namespace
 
-class EventLoop::Port final : public kj::EventPort {
+class EventLoop::H2oEventPort final : public kj::EventPort {
  public:
-  explicit Port(EventLoop& loop) : loop_(loop) {}
+  explicit H2oEventPort(EventLoop& loop) : loop_(loop) {}
 
   bool wait() override {
-    FinishWrites();
+    RunWriteCallbacks();
     RunOnce(loop_.MaxWaitMilliseconds());
     return false;
   }
   bool poll() override {
-    FinishWrites();
+    RunWriteCallbacks();
     RunOnce(0);
     return false;
   }
 
  private:
-  void RunOnce(std::int32_t longest_wait_ms) {
-    h2o_evloop_run(loop_.h2o_, longest_wait_ms);
+  void RunOnce(std::int32_t max_wait_ms) {
+    h2o_evloop_run(loop_.h2o_, max_wait_ms);
     loop_.RunDueTimers();
   }
   /// Calls back for the writes that timers and promises have made since.
@@ -61,7 +61,7 @@
   /// when its memory was used again the loop went round for ever, or it
   /// crashed. With the list empty before each round nothing freed is left in
   /// it.
-  void FinishWrites() { h2o_timeout__do_post_callback(loop_.h2o_); }
+  void RunWriteCallbacks() { h2o_timeout__do_post_callback(loop_.h2o_); }
 
   EventLoop& loop_;
 };
@@ -92,8 +92,8 @@
       return;
     }
     auto* self = static_cast<H2oListener*>(listener->data);
-    constexpr int kAcceptsPerWake = 32;
-    for (int i = 0; i < kAcceptsPerWake; ++i) {
+    constexpr int kMaxAcceptsPerEvent = 32;
+    for (int i = 0; i < kMaxAcceptsPerEvent; ++i) {
       h2o_socket_t* accepted = h2o_evloop_socket_accept(listener);
       if (accepted == nullptr) {
         return;
@@ -109,7 +109,7 @@
 
 int BindAndListen(std::string_view address, std::uint16_t port) {
   const std::string host(address);
-  auto target = Ipv4Address(address, port);
+  auto target = ParseIpv4Address(address, port);
   if (!target) {
     throw std::runtime_error("'" + host + "' is not an IP number");
   }
@@ -145,8 +145,8 @@
 EventLoop::EventLoop()
     : h2o_(h2o_evloop_create()),
       started_nanos_(NanosOf(CLOCK_MONOTONIC)),
-      port_(std::make_unique<Port>(*this)),
-      kj_loop_(std::make_unique<kj::EventLoop>(*port_)),
+      event_port_(std::make_unique<H2oEventPort>(*this)),
+      kj_loop_(std::make_unique<kj::EventLoop>(*event_port_)),
       wait_scope_(std::make_unique<kj::WaitScope>(*kj_loop_)) {
   signal(SIGPIPE, SIG_IGN);
 }
@@ -159,7 +159,7 @@
       Duration((NanosOf(CLOCK_MONOTONIC) - started_nanos_) / kNanosPerMicro));
 }
 
-UnixMicros EventLoop::Wall() const {
+UnixMicros EventLoop::WallTime() const {
   constexpr std::int64_t kNanosPerMicro = 1000;
   return NanosOf(CLOCK_REALTIME) / kNanosPerMicro;
 }
@@ -218,7 +218,7 @@
     return 0;
   }
   if (timers_.empty()) {
-    return kLongestWaitMilliseconds;
+    return kMaxWaitMilliseconds;
   }
   const Duration left = timers_.begin()->first - Now();
   if (left.count() <= 0) {
@@ -227,10 +227,10 @@
   const auto rounded_up =
       std::chrono::ceil<std::chrono::milliseconds>(left).count();
   return static_cast<std::int32_t>(
-      std::min<std::int64_t>(rounded_up, kLongestWaitMilliseconds));
+      std::min<std::int64_t>(rounded_up, kMaxWaitMilliseconds));
 }
 
-void EventLoop::HoldSignals(std::initializer_list<int> signals) {
+void EventLoop::BlockSignals(std::initializer_list<int> signals) {
   sigset_t set;
   sigemptyset(&set);
   for (const int number : signals) {
@@ -240,7 +240,7 @@
 }
 
 void EventLoop::OnSignal(int number, Callback callback) {
-  HoldSignals({number});
+  BlockSignals({number});
   sigset_t set;
   sigemptyset(&set);
   sigaddset(&set, number);
--- a/packages/loop/src/h2o_http_client.cc
+++ b/packages/loop/src/h2o_http_client.cc
@@ -15,16 +15,18 @@
 namespace {
 
 std::string Serialise(const HttpCall& call) {
-  std::string text = call.method + " " + call.path + " HTTP/1.1\r\n";
-  text += "host: " + call.address + ":" + std::to_string(call.port) + "\r\n";
+  std::string request_text = call.method + " " + call.path + " HTTP/1.1\r\n";
+  request_text +=
+      "host: " + call.address + ":" + std::to_string(call.port) + "\r\n";
   for (const HttpHeader& header : call.headers) {
-    text += header.name + ": " + header.value + "\r\n";
+    request_text += header.name + ": " + header.value + "\r\n";
   }
-  text += "content-length: " + std::to_string(call.body.size()) + "\r\n";
+  request_text +=
+      "content-length: " + std::to_string(call.body.size()) + "\r\n";
   if (call.fresh_connection) {
-    text += "connection: close\r\n";
+    request_text += "connection: close\r\n";
   }
-  return text + "\r\n" + call.body;
+  return request_text + "\r\n" + call.body;
 }
 
 HttpHeaders CopyHeaders(const h2o_header_t* headers, std::size_t count) {
@@ -42,7 +44,7 @@
 }
 
 /// Without a length or chunks the end of the body is the end of the
-/// connection, which a cut looks just like.
+/// connection, which a truncated looks just like.
 bool HasFraming(const HttpHeaders& headers) {
   return !FindHeader(headers, "content-length").empty() ||
          FindHeader(headers, "transfer-encoding") == "chunked";
@@ -74,9 +76,9 @@
     exchange.id = id;
     exchange.owner = this;
     exchange.observer = std::move(observer);
-    exchange.text = Serialise(call);
-    exchange.buffer =
-        h2o_iovec_init(exchange.text.data(), exchange.text.size());
+    exchange.request_text = Serialise(call);
+    exchange.buffer = h2o_iovec_init(exchange.request_text.data(),
+                                     exchange.request_text.size());
     if (call.fresh_connection) {
       exchange.address = call.address;
       h2o_http1client_connect(
@@ -110,14 +112,14 @@
     }
   }
 
-  void CondemnConnections(std::string_view address, std::uint16_t port) {
+  void DiscardIdleConnections(std::string_view address, std::uint16_t port) {
     const auto found = pools_.find({std::string(address), port});
     if (found == pools_.end()) {
       return;
     }
     // Connections in use still point at the pool, so it can't be freed yet;
     // its idle ones age out, and no new call takes one of them.
-    retired_.push_back(std::move(found->second));
+    discarded_pools_.push_back(std::move(found->second));
     pools_.erase(found);
   }
 
@@ -132,7 +134,7 @@
     h2o_http1client_t* client = nullptr;
     std::unique_ptr<HttpCallObserver> observer;
     std::string address;
-    std::string text;
+    std::string request_text;
     h2o_iovec_t buffer{};
     bool framed = false;
     bool chunked = false;
@@ -146,7 +148,7 @@
     const auto unused = [](const std::unique_ptr<Pool>& pool) {
       return pool->pool._shared.count == 0;
     };
-    std::erase_if(retired_, unused);
+    std::erase_if(discarded_pools_, unused);
     std::erase_if(pools_,
                   [&](const auto& entry) { return unused(entry.second); });
   }
@@ -155,8 +157,8 @@
     std::unique_ptr<Pool>& pool = pools_[{address, port}];
     if (pool == nullptr) {
       pool = std::make_unique<Pool>();
-      sockaddr_in target =
-          Ipv4Address(address, port).value_or(*Ipv4Address("0.0.0.0", port));
+      sockaddr_in target = ParseIpv4Address(address, port)
+                               .value_or(*ParseIpv4Address("0.0.0.0", port));
       h2o_socketpool_init_by_address(&pool->pool,
                                      reinterpret_cast<sockaddr*>(&target),
                                      sizeof(target), 0, SIZE_MAX);
@@ -168,7 +170,7 @@
   }
 
   /// Ends the exchange from inside a callback of h2o, which closes the client.
-  static void Drop(Exchange& exchange) {
+  static void Erase(Exchange& exchange) {
     Impl* owner = exchange.owner;
     owner->calls_.erase(exchange.id);
   }
@@ -178,14 +180,14 @@
                    const char* detail) {
     const std::unique_ptr<HttpCallObserver> observer =
         std::move(exchange.observer);
-    Drop(exchange);
+    Erase(exchange);
     observer->OnError(error, detail == nullptr ? "" : detail);
   }
 
   static void Complete(Exchange& exchange) {
     const std::unique_ptr<HttpCallObserver> observer =
         std::move(exchange.observer);
-    Drop(exchange);
+    Erase(exchange);
     observer->OnDone();
   }
 
@@ -200,10 +202,10 @@
       return nullptr;
     }
     exchange.in_callback = true;
-    exchange.observer->OnWriting();
+    exchange.observer->OnConnected();
     exchange.in_callback = false;
     if (exchange.cancelled) {
-      Drop(exchange);
+      Erase(exchange);
       return nullptr;
     }
     *buffers = &exchange.buffer;
@@ -221,8 +223,8 @@
                                         std::size_t header_count,
                                         int /*rlen*/) {
     auto& exchange = *static_cast<Exchange*>(client->data);
-    const bool bodyless = error == h2o_http1client_error_is_eos;
-    if (error != nullptr && !bodyless) {
+    const bool no_body = error == h2o_http1client_error_is_eos;
+    if (error != nullptr && !no_body) {
       Fail(exchange, HttpCallError::kReset, error);
       return nullptr;
     }
@@ -233,10 +235,10 @@
     exchange.observer->OnHead(status, copy);
     exchange.in_callback = false;
     if (exchange.cancelled) {
-      Drop(exchange);
+      Erase(exchange);
       return nullptr;
     }
-    if (bodyless) {
+    if (no_body) {
       Complete(exchange);
       return nullptr;
     }
@@ -259,7 +261,7 @@
       exchange.observer->OnBody(part);
       exchange.in_callback = false;
       if (exchange.cancelled) {
-        Drop(exchange);
+        Erase(exchange);
         return kClose;
       }
     }
@@ -267,10 +269,10 @@
       return 0;
     }
     // h2o takes a connection that closes between two chunks for the end of the
-    // body, so a cut answer would pass as a whole one. Its last chunk always
-    // comes with bytes; an end without any is the close.
-    const bool cut = exchange.chunked && client->sock->bytes_read == 0;
-    if (cut) {
+    // body, so a truncated answer would pass as a whole one. Its last chunk
+    // always comes with bytes; an end without any is the close.
+    const bool truncated = exchange.chunked && client->sock->bytes_read == 0;
+    if (truncated) {
       Fail(exchange, HttpCallError::kTruncated, "closed before the last chunk");
     } else if (exchange.framed) {
       Complete(exchange);
@@ -288,7 +290,7 @@
   h2o_http1client_ctx_t context_{};
   std::unordered_map<HttpCallId, std::unique_ptr<Exchange>> calls_;
   std::map<std::pair<std::string, std::uint16_t>, std::unique_ptr<Pool>> pools_;
-  std::list<std::unique_ptr<Pool>> retired_;
+  std::list<std::unique_ptr<Pool>> discarded_pools_;
   std::uint64_t next_call_ = 1;
   TimerId sweep_;
 };
@@ -304,9 +306,9 @@
 void H2oHttpClient::Cancel(HttpCallId call) {
   impl_->Cancel(call);
 }
-void H2oHttpClient::CondemnConnections(std::string_view address,
-                                       std::uint16_t port) {
-  impl_->CondemnConnections(address, port);
+void H2oHttpClient::DiscardIdleConnections(std::string_view address,
+                                           std::uint16_t port) {
+  impl_->DiscardIdleConnections(address, port);
 }
 
 }  // namespace gentianroute
--- a/packages/loop/src/http.cc
+++ b/packages/loop/src/http.cc
@@ -17,7 +17,7 @@
   }
   void OnBody(std::string_view part) override { result_.body += part; }
   void OnDone() override {
-    result_.whole = true;
+    result_.complete = true;
     done_(std::move(result_));
   }
   void OnError(HttpCallError error, std::string_view detail) override {
@@ -38,7 +38,7 @@
   return found == headers.end() ? std::string_view() : found->value;
 }
 
-std::unique_ptr<HttpCallObserver> CollectAnswer(
+std::unique_ptr<HttpCallObserver> CollectResponse(
     std::function<void(HttpResult)> done) {
   return std::make_unique<Collector>(std::move(done));
 }
--- a/packages/loop/src/http_server.cc
+++ b/packages/loop/src/http_server.cc
@@ -27,7 +27,7 @@
 }
 
 /// Answers through h2o. h2o owns the request and frees it with its pool; the
-/// holder in that pool tells this object that the request is gone.
+/// holder in that pool tells this object that the request is on_disconnect.
 class H2oResponder final : public HttpResponder {
  public:
   H2oResponder(h2o_req_t* request, const bool& closing, bool close_after)
@@ -38,18 +38,18 @@
   }
 
   void Send(HttpResponse response) override {
-    if (request_ == nullptr || begun_) {
+    if (request_ == nullptr || started_) {
       return;
     }
     request_->res.content_length = response.body.size();
     Start(response.status, response.headers);
     ended_ = true;
     pending_.push_back(std::move(response.body));
-    Push();
+    SendPending();
   }
 
   void Begin(int status, HttpHeaders headers) override {
-    if (request_ == nullptr || begun_) {
+    if (request_ == nullptr || started_) {
       return;
     }
     Start(status, headers);
@@ -60,7 +60,7 @@
       return;
     }
     pending_.emplace_back(text);
-    Push();
+    SendPending();
   }
 
   void End() override {
@@ -68,7 +68,7 @@
       return;
     }
     ended_ = true;
-    Push();
+    SendPending();
   }
 
   void Abort() override {
@@ -79,21 +79,22 @@
     }
   }
 
-  void OnGone(std::function<void()> callback) override {
-    gone_ = std::move(callback);
+  void SetOnDisconnect(std::function<void()> callback) override {
+    on_disconnect_ = std::move(callback);
   }
 
   /// Whether the answer to this request comes from a responder.
-  static bool Answers(const h2o_req_t& request) {
+  static bool HasResponder(const h2o_req_t& request) {
     return request._generator != nullptr &&
            request._generator->proceed == &H2oResponder::OnProceed;
   }
 
   void Detach() {
     request_ = nullptr;
-    const std::function<void()> gone = std::exchange(gone_, nullptr);
-    if (gone && !sent_all_) {
-      gone();
+    const std::function<void()> on_disconnect =
+        std::exchange(on_disconnect_, nullptr);
+    if (on_disconnect && !sent_all_) {
+      on_disconnect();
     }
   }
 
@@ -107,7 +108,7 @@
     H2oResponder* self = reinterpret_cast<Generator*>(generator)->self;
     self->in_flight_.clear();
     self->sending_ = false;
-    self->Push();
+    self->SendPending();
   }
   static void OnStop(h2o_generator_t* generator, h2o_req_t* /*request*/) {
     // The request is disposed of next; until then nothing may be sent.
@@ -115,7 +116,7 @@
   }
 
   void Start(int status, const HttpHeaders& headers) {
-    begun_ = true;
+    started_ = true;
     request_->res.status = status;
     request_->res.reason = "";
     for (const HttpHeader& header : headers) {
@@ -127,7 +128,7 @@
     h2o_start_response(request_, &generator_.super);
   }
 
-  void Push() {
+  void SendPending() {
     const bool done = ended_ && pending_.empty();
     if (request_ == nullptr || sending_ || sent_all_ ||
         (pending_.empty() && !done)) {
@@ -149,49 +150,49 @@
   h2o_req_t* request_;
   const bool& closing_;  ///< of the server, as it is when the answer begins
   bool close_after_;
-  bool begun_ = false;
+  bool started_ = false;
   bool ended_ = false;
   bool sending_ = false;
   bool sent_all_ = false;
   std::deque<std::string> pending_;
   std::string in_flight_;
-  std::function<void()> gone_;
+  std::function<void()> on_disconnect_;
 };
 
-struct Holder {
+struct ResponderHolder {
   std::shared_ptr<H2oResponder> responder;
 };
 
-void DisposeHolder(void* memory) {
-  auto* holder = static_cast<Holder*>(memory);
+void DisposeResponderHolder(void* memory) {
+  auto* holder = static_cast<ResponderHolder*>(memory);
   holder->responder->Detach();
-  holder->~Holder();
+  holder->~ResponderHolder();
 }
 
-std::string Text(h2o_iovec_t text) {
+std::string ToString(h2o_iovec_t text) {
   return {text.base, text.len};
 }
 
-HttpRequest Copy(const h2o_req_t& request) {
+HttpRequest CopyRequest(const h2o_req_t& request) {
   HttpRequest copy;
-  copy.method = Text(request.method);
-  copy.path = Text(request.path_normalized);
+  copy.method = ToString(request.method);
+  copy.path = ToString(request.path_normalized);
   if (request.query_at != SIZE_MAX) {
-    const std::string path = Text(request.path);
+    const std::string path = ToString(request.path);
     copy.query = path.substr(request.query_at + 1);
   }
   copy.headers.reserve(request.headers.size);
   for (std::size_t i = 0; i < request.headers.size; ++i) {
     const h2o_header_t& header = request.headers.entries[i];
-    copy.headers.push_back({Text(*header.name), Text(header.value)});
+    copy.headers.push_back({ToString(*header.name), ToString(header.value)});
   }
-  copy.body = Text(request.entity);
-  copy.connection = request.conn->id;
+  copy.body = ToString(request.entity);
+  copy.connection_id = request.conn->id;
   return copy;
 }
 
 /// Puts another body in place of the one that h2o sends.
-struct BodySwap {
+struct BodyReplacer {
   h2o_ostream_t super;
   h2o_iovec_t body;
 
@@ -200,8 +201,8 @@
                    h2o_iovec_t* /*buffers*/,
                    std::size_t /*count*/,
                    h2o_send_state_t state) {
-    auto* swap = reinterpret_cast<BodySwap*>(stream);
-    h2o_ostream_send_next(&swap->super, request, &swap->body, 1, state);
+    auto* replacer = reinterpret_cast<BodyReplacer*>(stream);
+    h2o_ostream_send_next(&replacer->super, request, &replacer->body, 1, state);
   }
 };
 
@@ -244,7 +245,7 @@
         reinterpret_cast<Handler*>(h2o_create_handler(path, sizeof(Handler)));
     entry->super.on_req = &Impl::OnRequest;
     entry->self = this;
-    if (options_.turned_down) {
+    if (options_.make_error_response) {
       // The body is refused before a path is chosen, so the filter stands on
       // the host's own configuration too.
       AddFilter(&host->fallback_path);
@@ -290,16 +291,16 @@
   static void OnSetUpStream(h2o_filter_t* filter,
                             h2o_req_t* request,
                             h2o_ostream_t** slot) {
-    if (!H2oResponder::Answers(*request)) {
+    if (!H2oResponder::HasResponder(*request)) {
       Impl* self = reinterpret_cast<Filter*>(filter)->self;
       const HttpResponse response =
-          self->options_.turned_down(request->res.status);
-      auto* swap = reinterpret_cast<BodySwap*>(
-          h2o_add_ostream(request, sizeof(BodySwap), slot));
-      slot = &swap->super.next;
-      swap->super.do_send = &BodySwap::Send;
-      swap->body = h2o_strdup(&request->pool, response.body.data(),
-                              response.body.size());
+          self->options_.make_error_response(request->res.status);
+      auto* replacer = reinterpret_cast<BodyReplacer*>(
+          h2o_add_ostream(request, sizeof(BodyReplacer), slot));
+      slot = &replacer->super.next;
+      replacer->super.do_send = &BodyReplacer::Send;
+      replacer->body = h2o_strdup(&request->pool, response.body.data(),
+                                  response.body.size());
       request->res.status = response.status;
       request->res.content_length = response.body.size();
       request->res.headers = {};
@@ -316,10 +317,10 @@
         request->conn->callbacks->get_socket(request->conn));
     auto responder =
         std::make_shared<H2oResponder>(request, self->closing_, over_limit);
-    void* memory =
-        h2o_mem_alloc_shared(&request->pool, sizeof(Holder), &DisposeHolder);
-    new (memory) Holder{responder};
-    HttpRequest copy = Copy(*request);
+    void* memory = h2o_mem_alloc_shared(&request->pool, sizeof(ResponderHolder),
+                                        &DisposeResponderHolder);
+    new (memory) ResponderHolder{responder};
+    HttpRequest copy = CopyRequest(*request);
     copy.over_limit = over_limit;
     self->handler_(std::move(copy), std::move(responder));
     return 0;
@@ -328,8 +329,8 @@
   /// Connections over the limit are taken as far as an answer needs, so that
   /// their callers hear why; beyond a margin they are closed at once.
   void Accept(h2o_socket_t* socket) {
-    constexpr std::size_t kMargin = 64;
-    if (connections_ >= options_.max_connections + kMargin) {
+    constexpr std::size_t kMaxRejectedConnections = 64;
+    if (connections_ >= options_.max_connections + kMaxRejectedConnections) {
       h2o_socket_close(socket);
       return;
     }
@@ -337,9 +338,10 @@
       over_limit_.insert(socket);
     }
     ++connections_;
-    auto* open = new Open{this, socket};
+    auto* open = new OpenConnection{this, socket};
     socket->on_close.cb = [](void* data) {
-      const std::unique_ptr<Open> closed(static_cast<Open*>(data));
+      const std::unique_ptr<OpenConnection> closed(
+          static_cast<OpenConnection*>(data));
       --closed->server->connections_;
       closed->server->over_limit_.erase(closed->socket);
     };
@@ -347,7 +349,7 @@
     h2o_accept(&accept_, socket);
   }
 
-  struct Open {
+  struct OpenConnection {
     Impl* server;
     h2o_socket_t* socket;
   };
--- a/packages/loop/src/message_parser.cc
+++ b/packages/loop/src/message_parser.cc
@@ -16,7 +16,7 @@
 namespace {
 
 /// Bytes on which the parser's own assumptions fail.
-struct UnexpectedBytes : std::exception {};
+struct ParserAssertionFailure : std::exception {};
 
 }  // namespace
 
@@ -29,14 +29,14 @@
                       const char* /*function*/,
                       const char* /*file*/,
                       long /*line*/) {
-  throw UnexpectedBytes();
+  throw ParserAssertionFailure();
 }
 void assertion_failed_msg(const char* /*expression*/,
                           const char* /*message*/,
                           const char* /*function*/,
                           const char* /*file*/,
                           long /*line*/) {
-  throw UnexpectedBytes();
+  throw ParserAssertionFailure();
 }
 }  // namespace boost
 
@@ -139,41 +139,41 @@
 
   void Begin(Limits limits) {
     request_.reset();
-    answer_.reset();
+    response_.reset();
     if (kind_ == Kind::kRequest) {
       Prepare(request_.emplace(), limits);
     } else {
-      Prepare(answer_.emplace(), limits);
+      Prepare(response_.emplace(), limits);
     }
-    told_head_ = false;
-    told_end_ = false;
+    head_reported_ = false;
+    end_reported_ = false;
     failure_.reset();
   }
 
   Event Poll() {
-    return kind_ == Kind::kRequest ? PollWith(*request_) : PollWith(*answer_);
+    return kind_ == Kind::kRequest ? PollWith(*request_) : PollWith(*response_);
   }
-  void FeedEnd() {
+  void FeedEof() {
     beast::error_code error;
     if (kind_ == Kind::kRequest) {
       request_->put_eof(error);
-    } else if (answer_->got_some()) {
-      answer_->put_eof(error);
+    } else if (response_->got_some()) {
+      response_->put_eof(error);
     }
     if (error) {
       failure_ = Event::kMalformed;
     }
   }
   MessageHead& head() {
-    return kind_ == Kind::kRequest ? request_->head_ : answer_->head_;
+    return kind_ == Kind::kRequest ? request_->head_ : response_->head_;
   }
-  bool begun() const {
+  bool started() const {
     return !input_.empty() || (kind_ == Kind::kRequest ? request_->got_some()
-                                                       : answer_->got_some());
+                                                       : response_->got_some());
   }
 
   std::string input_;
-  std::string part_;
+  std::string body_part_;
 
  private:
   template <typename Parser>
@@ -187,21 +187,21 @@
     if (!failure_ && !parser.is_done() && !input_.empty()) {
       Parse(parser);
     }
-    if (parser.is_header_done() && !std::exchange(told_head_, true)) {
-      if (NamesTwoHosts()) {
+    if (parser.is_header_done() && !std::exchange(head_reported_, true)) {
+      if (HasMultipleHostFields()) {
         failure_ = Event::kMalformed;
         return *failure_;
       }
       return Event::kHead;
     }
     if (!parser.body_.empty()) {
-      part_ = std::exchange(parser.body_, {});
+      body_part_ = std::exchange(parser.body_, {});
       return Event::kBody;
     }
     if (failure_) {
       return *failure_;
     }
-    if (parser.is_done() && !std::exchange(told_end_, true)) {
+    if (parser.is_done() && !std::exchange(end_reported_, true)) {
       return Event::kEnd;
     }
     return Event::kNeedMore;
@@ -210,36 +210,37 @@
   template <typename Parser>
   void Parse(Parser& parser) {
     beast::error_code error;
-    std::size_t used = 0;
+    std::size_t consumed = 0;
     try {
-      while (used < input_.size() && !parser.is_done()) {
+      while (consumed < input_.size() && !parser.is_done()) {
         const std::size_t part =
-            parser.put(boost::asio::const_buffer(input_.data() + used,
-                                                 input_.size() - used),
+            parser.put(boost::asio::const_buffer(input_.data() + consumed,
+                                                 input_.size() - consumed),
                        error);
-        used += part;
+        consumed += part;
         if (error || part == 0) {
           break;
         }
       }
-    } catch (const UnexpectedBytes&) {
+    } catch (const ParserAssertionFailure&) {
       // A last chunk that is not whole yet is no fault of its sender. The
       // parser looks at it again only as the first thing of a step, so nothing
-      // has been used of these bytes, and they are read again with the rest.
+      // has been consumed of these bytes, and they are read again with the
+      // rest.
       constexpr std::size_t kLastChunkBytes = 5;
-      if (input_.size() - used >= kLastChunkBytes) {
+      if (input_.size() - consumed >= kLastChunkBytes) {
         failure_ = Event::kMalformed;
       }
     }
-    input_.erase(0, used);
+    input_.erase(0, consumed);
     if (error && error != http::error::need_more) {
-      failure_ = FailureOf(error);
+      failure_ = EventForError(error);
     }
   }
 
   /// Two hops that go by different ones would send the request to different
   /// services, with the checks of the other one's route.
-  bool NamesTwoHosts() {
+  bool HasMultipleHostFields() {
     if (kind_ != Kind::kRequest) {
       return false;
     }
@@ -250,7 +251,7 @@
                          }) > 1;
   }
 
-  static Event FailureOf(const beast::error_code& error) {
+  static Event EventForError(const beast::error_code& error) {
     if (error == http::error::header_limit) {
       return Event::kHeadTooLarge;
     }
@@ -260,9 +261,9 @@
 
   Kind kind_;
   std::optional<Collector<true>> request_;
-  std::optional<Collector<false>> answer_;
-  bool told_head_ = false;
-  bool told_end_ = false;
+  std::optional<Collector<false>> response_;
+  bool head_reported_ = false;
+  bool end_reported_ = false;
   std::optional<Event> failure_;
 };
 
@@ -273,23 +274,23 @@
 void MessageParser::Feed(std::string_view data) {
   impl_->input_.append(data);
 }
-void MessageParser::FeedEnd() {
-  impl_->FeedEnd();
+void MessageParser::FeedEof() {
+  impl_->FeedEof();
 }
 MessageParser::Event MessageParser::Poll() {
   return impl_->Poll();
 }
-void MessageParser::Next(Limits limits) {
+void MessageParser::StartNext(Limits limits) {
   impl_->Begin(limits);
 }
 MessageHead& MessageParser::head() {
   return impl_->head();
 }
 const std::string& MessageParser::body() const {
-  return impl_->part_;
+  return impl_->body_part_;
 }
-bool MessageParser::begun() const {
-  return impl_->begun();
+bool MessageParser::started() const {
+  return impl_->started();
 }
 
 }  // namespace gentianroute
--- a/packages/loop/src/message_text.cc
+++ b/packages/loop/src/message_text.cc
@@ -15,7 +15,7 @@
 
 /// Fields that RFC 9110 ties to one connection, and those that tell a body's
 /// framing, which each connection sets anew.
-constexpr std::array<std::string_view, 10> kConnectionFields = {
+constexpr std::array<std::string_view, 10> kHopByHopFields = {
     "connection",          "keep-alive", "proxy-connection", "te",
     "transfer-encoding",   "trailer",    "upgrade",          "content-length",
     "proxy-authorization", "expect",
@@ -41,11 +41,11 @@
 
 }  // namespace
 
-std::string RequestHeadText(std::string_view method,
-                            std::string_view target,
-                            const HttpHeaders& fields,
-                            BodyFraming framing,
-                            std::size_t body_bytes) {
+std::string SerialiseRequestHead(std::string_view method,
+                                 std::string_view target,
+                                 const HttpHeaders& fields,
+                                 BodyFraming framing,
+                                 std::size_t body_bytes) {
   std::string text;
   text += method;
   text += ' ';
@@ -60,11 +60,11 @@
   return text;
 }
 
-std::string AnswerHeadText(int status,
-                           const HttpHeaders& fields,
-                           BodyFraming framing,
-                           std::size_t body_bytes,
-                           bool close) {
+std::string SerialiseResponseHead(int status,
+                                  const HttpHeaders& fields,
+                                  BodyFraming framing,
+                                  std::size_t body_bytes,
+                                  bool close) {
   namespace http = boost::beast::http;
   const auto reason = http::obsolete_reason(http::int_to_status(status));
   std::string text = "HTTP/1.1 " + std::to_string(status) + ' ';
@@ -81,7 +81,7 @@
   return text;
 }
 
-std::string ChunkText(std::string_view data) {
+std::string SerialiseChunk(std::string_view data) {
   constexpr int kHexadecimal = 16;
   std::array<char, sizeof(std::size_t) * 2> digits{};
   const auto end = std::to_chars(digits.data(), digits.data() + digits.size(),
@@ -93,16 +93,16 @@
   return text;
 }
 
-bool IsConnectionField(std::string_view name, std::string_view connection) {
+bool IsHopByHopField(std::string_view name, std::string_view connection) {
   const bool always = std::any_of(
-      kConnectionFields.begin(), kConnectionFields.end(),
+      kHopByHopFields.begin(), kHopByHopFields.end(),
       [name](std::string_view field) { return SameFieldName(field, name); });
   if (always || connection.empty()) {
     return always;
   }
-  const boost::beast::http::token_list named(
+  const boost::beast::http::token_list listed(
       boost::beast::string_view(connection.data(), connection.size()));
-  return std::any_of(named.begin(), named.end(), [name](const auto& token) {
+  return std::any_of(listed.begin(), listed.end(), [name](const auto& token) {
     return SameFieldName({token.data(), token.size()}, name);
   });
 }
--- a/packages/loop/src/relay_client.cc
+++ b/packages/loop/src/relay_client.cc
@@ -19,12 +19,12 @@
 /// Idle connections are closed after this, well before servers do.
 constexpr Duration kMaxIdle = std::chrono::seconds(10);
 /// Kept from a server's own stated idle time: its close must not cross a call.
-constexpr Duration kIdleMargin = std::chrono::milliseconds(700);
+constexpr Duration kKeepAliveMargin = std::chrono::milliseconds(700);
 constexpr Duration kSweepPeriod = std::chrono::seconds(1);
 constexpr int kFirstFinalStatus = 200;
 
 /// The time that a server keeps an idle connection, if its answer says so.
-Duration StatedIdle(const HttpHeaders& fields) {
+Duration KeepAliveTimeout(const HttpHeaders& fields) {
   const std::string* keep_alive = FindField(fields, "keep-alive");
   constexpr std::string_view kParameter = "timeout=";
   if (keep_alive == nullptr) {
@@ -36,7 +36,7 @@
   }
   const std::string_view value =
       std::string_view(*keep_alive).substr(at + kParameter.size());
-  return std::chrono::seconds(NumberOf(value)) - kIdleMargin;
+  return std::chrono::seconds(NumberOf(value)) - kKeepAliveMargin;
 }
 
 }  // namespace
@@ -44,14 +44,14 @@
 class RelayClient::Impl {
  public:
   explicit Impl(EventLoop& loop) : loop_(loop) {
-    sweep_ = loop_.Every(kSweepPeriod, [this] { Sweep(); });
+    sweep_timer_ = loop_.Every(kSweepPeriod, [this] { CloseExpired(); });
   }
   ~Impl() {
-    loop_.Cancel(sweep_);
-    loop_.Cancel(burial_);
+    loop_.Cancel(sweep_timer_);
+    loop_.Cancel(deletion_timer_);
     calls_.clear();
     connections_.clear();
-    dead_.clear();
+    closed_connections_.clear();
   }
 
   class Connection final : public StreamSocket::Observer {
@@ -59,7 +59,7 @@
     Connection(Impl& client, Endpoint endpoint)
         : client_(client),
           endpoint_(std::move(endpoint)),
-          parser_(MessageParser::Kind::kAnswer, {}),
+          parser_(MessageParser::Kind::kResponse, {}),
           socket_(std::make_unique<StreamSocket>(client.loop_,
                                                  endpoint_.address,
                                                  endpoint_.port,
@@ -71,22 +71,22 @@
     void Start(RelayCallId id, RelayCall call, RelayCallObserver& observer) {
       id_ = id;
       observer_ = &observer;
-      is_ours_ = std::move(call.is_ours);
-      no_body_ = call.answer_has_no_body;
-      keep_ = call.keep;
-      head_told_ = false;
+      matches_response_ = std::move(call.matches_response);
+      response_has_no_body_ = call.response_has_no_body;
+      keep_connection_ = call.keep_connection;
+      head_received_ = false;
       socket_->Write(call.message);
     }
 
     const Endpoint& endpoint() const { return endpoint_; }
     bool idle() const { return observer_ == nullptr; }
-    bool IsFresh(TimePoint now, Duration limit) const {
+    bool CanReuse(TimePoint now, Duration limit) const {
       return idle() && now - idle_since_ < std::min(limit, idle_limit_);
     }
 
     /// Leaves the client; nothing more is heard.
-    void Retire() {
-      if (std::exchange(retired_, true)) {
+    void Close() {
+      if (std::exchange(closed_, true)) {
         return;
       }
       client_.loop_.Cancel(timer_);
@@ -99,46 +99,46 @@
     void OnData(std::string_view data) override {
       if (idle()) {
         // Bytes that nobody asked for: whatever follows belongs to no call.
-        Retire();
+        Close();
         return;
       }
       parser_.Feed(data);
-      Advance();
+      ProcessInput();
     }
     void OnEnd(StreamEnd end) override {
       if (idle()) {
-        Retire();
+        Close();
         return;
       }
-      if (end == StreamEnd::kClosed && head_told_) {
-        ended_ = true;
-        parser_.FeedEnd();
-        Advance();
+      if (end == StreamEnd::kClosed && head_received_) {
+        closed_by_server_ = true;
+        parser_.FeedEof();
+        ProcessInput();
       }
-      if (!retired_) {
+      if (!closed_) {
         Fail();
       }
     }
 
    private:
-    void Advance() {
-      while (!retired_ && !idle()) {
+    void ProcessInput() {
+      while (!closed_ && !idle()) {
         const MessageParser::Event event = parser_.Poll();
         if (event == MessageParser::Event::kNeedMore) {
           return;
         }
-        Step(event);
+        HandleEvent(event);
       }
     }
 
-    void Step(MessageParser::Event event) {
+    void HandleEvent(MessageParser::Event event) {
       using Event = MessageParser::Event;
       switch (event) {
         case Event::kHead:
           OnHead();
           return;
         case Event::kBody:
-          if (!stray_) {
+          if (!skip_response_) {
             observer_->OnBody(parser_.body());
           }
           return;
@@ -146,57 +146,60 @@
           OnMessageEnd();
           return;
         default:
-          End(ended_ ? RelayFailure::kTruncated : RelayFailure::kMalformed);
+          End(closed_by_server_ ? RelayFailure::kTruncated
+                                : RelayFailure::kMalformed);
       }
     }
 
     void OnHead() {
       MessageHead& head = parser_.head();
       keep_alive_ = head.keep_alive;
-      stray_ = head.status < kFirstFinalStatus || (is_ours_ && !is_ours_(head));
-      if (stray_) {
+      skip_response_ = head.status < kFirstFinalStatus ||
+                       (matches_response_ && !matches_response_(head));
+      if (skip_response_) {
         return;
       }
-      head_told_ = true;
-      idle_limit_ = StatedIdle(head.fields);
+      head_received_ = true;
+      idle_limit_ = KeepAliveTimeout(head.fields);
       observer_->OnHead(std::move(head));
-      if (no_body_ && !retired_) {
+      if (response_has_no_body_ && !closed_) {
         OnMessageEnd();
       }
     }
 
     void OnMessageEnd() {
-      parser_.Next({});
-      if (stray_) {
-        stray_ = false;
+      parser_.StartNext({});
+      if (skip_response_) {
+        skip_response_ = false;
         return;
       }
       RelayCallObserver* observer = std::exchange(observer_, nullptr);
-      client_.Forget(std::exchange(id_, {}));
+      client_.EraseCall(std::exchange(id_, {}));
       idle_since_ = client_.loop_.Now();
       // A body that the server has not read yet, or bytes after the answer:
       // the next call on this connection would meet them.
-      const bool clean = socket_->pending() == 0 && !parser_.begun();
-      if (!keep_ || !keep_alive_ || !clean || no_body_) {
-        Retire();
+      const bool clean = socket_->unsent_bytes() == 0 && !parser_.started();
+      if (!keep_connection_ || !keep_alive_ || !clean ||
+          response_has_no_body_) {
+        Close();
       }
       observer->OnDone();
     }
 
     void Fail() {
       if (idle()) {
-        Retire();
+        Close();
         return;
       }
       if (!socket_->connected()) {
         End(RelayFailure::kNotSent);
         return;
       }
-      End(head_told_ ? RelayFailure::kTruncated : RelayFailure::kReset);
+      End(head_received_ ? RelayFailure::kTruncated : RelayFailure::kReset);
     }
     void End(RelayFailure failure) {
       RelayCallObserver* observer = observer_;
-      Retire();
+      Close();
       observer->OnFailure(failure);
     }
 
@@ -207,20 +210,20 @@
     TimerId timer_;
     RelayCallId id_;
     RelayCallObserver* observer_ = nullptr;
-    std::function<bool(const MessageHead&)> is_ours_;
-    bool no_body_ = false;
-    bool keep_ = true;
-    bool head_told_ = false;
-    bool stray_ = false;
+    std::function<bool(const MessageHead&)> matches_response_;
+    bool response_has_no_body_ = false;
+    bool keep_connection_ = true;
+    bool head_received_ = false;
+    bool skip_response_ = false;
     bool keep_alive_ = true;
-    bool retired_ = false;
-    bool ended_ = false;  ///< the server has closed in order
+    bool closed_ = false;
+    bool closed_by_server_ = false;  ///< the server has closed in order
     TimePoint idle_since_{};
     Duration idle_limit_ = kMaxIdle;
   };
 
   RelayCallId Call(RelayCall call, RelayCallObserver& observer) {
-    const RelayCallId id{++last_call_};
+    const RelayCallId id{++last_call_id_};
     Connection& connection = ConnectionFor(call);
     calls_[id] = &connection;
     connection.Start(id, std::move(call), observer);
@@ -230,7 +233,7 @@
   void Cancel(RelayCallId call) {
     const auto found = calls_.find(call);
     if (found != calls_.end()) {
-      found->second->Retire();
+      found->second->Close();
     }
   }
 
@@ -241,62 +244,63 @@
   std::uint64_t opened() const { return opened_; }
 
  private:
-  using Line = std::list<std::unique_ptr<Connection>>;
+  using ConnectionList = std::list<std::unique_ptr<Connection>>;
 
   Connection& ConnectionFor(const RelayCall& call) {
     const TimePoint now = loop_.Now();
-    Line& line = connections_[call.endpoint];
+    ConnectionList& list = connections_[call.endpoint];
     // The one used last first: the others run into their idle limit.
-    for (auto at = line.rbegin(); at != line.rend(); ++at) {
-      if ((*at)->IsFresh(now, call.reuse_within)) {
+    for (auto at = list.rbegin(); at != list.rend(); ++at) {
+      if ((*at)->CanReuse(now, call.max_idle)) {
         return **at;
       }
     }
     ++opened_;
-    return *line.emplace_back(
+    return *list.emplace_back(
         std::make_unique<Connection>(*this, call.endpoint));
   }
 
-  void Forget(RelayCallId call) { calls_.erase(call); }
+  void EraseCall(RelayCallId call) { calls_.erase(call); }
 
   void Remove(Connection& connection, RelayCallId call) {
     calls_.erase(call);
-    Line& line = connections_[connection.endpoint()];
+    ConnectionList& list = connections_[connection.endpoint()];
     const auto found = std::find_if(
-        line.begin(), line.end(),
+        list.begin(), list.end(),
         [&](const auto& candidate) { return candidate.get() == &connection; });
-    if (dead_.empty()) {
-      burial_ = loop_.After(Duration{0}, [this] { dead_.clear(); });
+    if (closed_connections_.empty()) {
+      deletion_timer_ =
+          loop_.After(Duration{0}, [this] { closed_connections_.clear(); });
     }
-    dead_.push_back(std::move(*found));
-    line.erase(found);
+    closed_connections_.push_back(std::move(*found));
+    list.erase(found);
   }
 
-  void Sweep() {
+  void CloseExpired() {
     const TimePoint now = loop_.Now();
-    std::vector<Connection*> old;
-    for (const auto& [endpoint, line] : connections_) {
-      for (const auto& connection : line) {
-        if (connection->idle() && !connection->IsFresh(now, kMaxIdle)) {
-          old.push_back(connection.get());
+    std::vector<Connection*> expired;
+    for (const auto& [endpoint, list] : connections_) {
+      for (const auto& connection : list) {
+        if (connection->idle() && !connection->CanReuse(now, kMaxIdle)) {
+          expired.push_back(connection.get());
         }
       }
     }
-    for (Connection* connection : old) {
-      connection->Retire();
+    for (Connection* connection : expired) {
+      connection->Close();
     }
     std::erase_if(connections_,
                   [](const auto& entry) { return entry.second.empty(); });
   }
 
   EventLoop& loop_;
-  std::map<Endpoint, Line> connections_;
+  std::map<Endpoint, ConnectionList> connections_;
   std::unordered_map<RelayCallId, Connection*> calls_;
-  Line dead_;
-  std::uint64_t last_call_ = 0;
+  ConnectionList closed_connections_;
+  std::uint64_t last_call_id_ = 0;
   std::uint64_t opened_ = 0;
-  TimerId sweep_;
-  TimerId burial_;
+  TimerId sweep_timer_;
+  TimerId deletion_timer_;
 };
 
 RelayClient::RelayClient(EventLoop& loop)
--- a/packages/loop/src/relay_fetches.cc
+++ b/packages/loop/src/relay_fetches.cc
@@ -8,7 +8,7 @@
  public:
   Fetch(RelayFetches& owner, RelayCall call, Duration time_limit, Done done)
       : owner_(owner), done_(std::move(done)) {
-    timer_ = owner_.loop_.After(time_limit, [this] { End(); });
+    timer_ = owner_.loop_.After(time_limit, [this] { Finish(); });
     id_ = owner_.client_.Call(std::move(call), *this);
   }
   ~Fetch() override {
@@ -16,32 +16,32 @@
     owner_.client_.Cancel(id_);
   }
 
-  void OnHead(MessageHead head) override { end_.head = std::move(head); }
-  void OnBody(std::string_view part) override { end_.body.append(part); }
+  void OnHead(MessageHead head) override { result_.head = std::move(head); }
+  void OnBody(std::string_view part) override { result_.body.append(part); }
   void OnDone() override {
-    end_.whole = true;
-    End();
+    result_.complete = true;
+    Finish();
   }
   void OnFailure(RelayFailure failure) override {
-    end_.failure = failure;
-    End();
+    result_.failure = failure;
+    Finish();
   }
 
  private:
   /// Destroys this, and with it the connection of a call that is given up,
   /// before anybody hears of the end.
-  void End() {
+  void Finish() {
     const Done done = std::move(done_);
-    RelayFetchEnd end = std::move(end_);
+    RelayFetchResult result = std::move(result_);
     owner_.running_.erase(this);
-    done(std::move(end));
+    done(std::move(result));
   }
 
   RelayFetches& owner_;
   Done done_;
   RelayCallId id_;
   TimerId timer_;
-  RelayFetchEnd end_;
+  RelayFetchResult result_;
 };
 
 RelayFetches::RelayFetches(EventLoop& loop, RelayClient& client)
--- a/packages/loop/src/relay_server.cc
+++ b/packages/loop/src/relay_server.cc
@@ -19,7 +19,7 @@
 /// After the last answer the far end's bytes are read and dropped for this
 /// long: closing with unread bytes resets the connection, and the reset can
 /// overtake the answer. A round trip is far below it.
-constexpr Duration kLinger = std::chrono::seconds(1);
+constexpr Duration kLingerTimeout = std::chrono::seconds(1);
 /// A caller that does not read its stream must not fill the host's memory.
 constexpr std::size_t kMaxUnsentBytes = 8 * 1024 * 1024;
 
@@ -38,10 +38,10 @@
   }
   ~Impl() {
     while (!connections_.empty()) {
-      connections_.front().Retire();
+      connections_.front().Close();
     }
-    Bury();
-    loop_.Cancel(burial_);
+    DeleteClosed();
+    loop_.Cancel(deletion_timer_);
   }
 
   class Connection;
@@ -51,11 +51,11 @@
     Exchange(Connection& connection, MessageHead head, TimePoint began)
         : connection_(&connection) {
       head_ = std::move(head);
-      began_ = began;
+      start_time_ = began;
     }
-    void Answer(int status,
-                const HttpHeaders& fields,
-                std::string_view body) override;
+    void Respond(int status,
+                 const HttpHeaders& fields,
+                 std::string_view body) override;
     void Begin(int status, const HttpHeaders& fields) override;
     void Write(std::string_view part) override;
     void End() override;
@@ -63,12 +63,12 @@
 
     void AppendBody(std::string_view part) { body_.append(part); }
     void Detach() { connection_ = nullptr; }
-    void TellGone() {
-      if (auto callback = std::exchange(on_gone_, nullptr)) {
+    void NotifyDisconnect() {
+      if (auto callback = std::exchange(on_disconnect_, nullptr)) {
         callback();
       }
     }
-    void ForgetGone() { on_gone_ = nullptr; }
+    void ClearOnDisconnect() { on_disconnect_ = nullptr; }
 
    private:
     Connection* connection_;
@@ -81,13 +81,13 @@
         : server_(server),
           parser_(MessageParser::Kind::kRequest, {}),
           socket_(std::make_unique<StreamSocket>(socket, *this)) {
-      Restart();
+      WaitForRequest();
     }
 
-    bool busy() const { return exchange_ != nullptr || begun_; }
+    bool busy() const { return exchange_ != nullptr || request_started_; }
 
-    void Retire() {
-      if (std::exchange(retired_, true)) {
+    void Close() {
+      if (std::exchange(closed_, true)) {
         return;
       }
       server_.loop_.Cancel(timer_);
@@ -95,7 +95,7 @@
       if (exchange_ != nullptr) {
         exchange_->Detach();
         auto gone = std::exchange(exchange_, nullptr);
-        gone->TellGone();
+        gone->NotifyDisconnect();
       }
       server_.Remove(*this);
     }
@@ -105,32 +105,32 @@
         return;
       }
       parser_.Feed(data);
-      Advance();
+      ProcessInput();
     }
     void OnDrained() override {
       if (lingering_) {
         socket_->ShutdownWrite();
       }
     }
-    void OnEnd(StreamEnd /*end*/) override { Retire(); }
-
-    void SendWhole(int status,
-                   const HttpHeaders& fields,
-                   std::string_view body) {
-      const bool close = ClosesAfterThis();
-      std::string text = AnswerHeadText(status, fields, BodyFraming::kLength,
-                                        body.size(), close);
+    void OnEnd(StreamEnd /*end*/) override { Close(); }
+
+    void SendResponse(int status,
+                      const HttpHeaders& fields,
+                      std::string_view body) {
+      const bool close = ShouldClose();
+      std::string text = SerialiseResponseHead(
+          status, fields, BodyFraming::kLength, body.size(), close);
       if (exchange_ == nullptr || exchange_->head().method != "HEAD") {
         text += body;
       }
       socket_->Write(text);
-      Finish(close);
+      FinishResponse(close);
     }
     void SendHead(int status, const HttpHeaders& fields) {
       // A caller of HTTP/1.0 can't read chunks; for it the close ends the body.
       chunked_ = !exchange_->head().version_1_0;
-      close_after_ = ClosesAfterThis() || !chunked_;
-      socket_->Write(AnswerHeadText(
+      close_after_ = ShouldClose() || !chunked_;
+      socket_->Write(SerialiseResponseHead(
           status, fields, chunked_ ? BodyFraming::kChunked : BodyFraming::kNone,
           0, close_after_));
     }
@@ -138,44 +138,45 @@
       if (part.empty()) {
         return;
       }
-      socket_->Write(chunked_ ? ChunkText(part) : std::string(part));
-      if (socket_->pending() > kMaxUnsentBytes) {
-        Retire();
+      socket_->Write(chunked_ ? SerialiseChunk(part) : std::string(part));
+      if (socket_->unsent_bytes() > kMaxUnsentBytes) {
+        Close();
       }
     }
     void SendEnd() {
       if (chunked_) {
         socket_->Write(kLastChunk);
       }
-      Finish(close_after_);
+      FinishResponse(close_after_);
     }
 
    private:
-    bool ClosesAfterThis() const {
+    bool ShouldClose() const {
       return server_.closing_ || exchange_ == nullptr ||
              !exchange_->head().keep_alive;
     }
 
     /// Reads as far as the present request; what follows it waits.
-    void Advance() {
-      while (!retired_ && !lingering_ && exchange_ == nullptr) {
-        if (!begun_ && parser_.begun()) {
+    void ProcessInput() {
+      while (!closed_ && !lingering_ && exchange_ == nullptr) {
+        if (!request_started_ && parser_.started()) {
           BeginRequest();
         }
-        if (!Step(parser_.Poll())) {
+        if (!HandleEvent(parser_.Poll())) {
           return;
         }
       }
     }
 
-    bool Step(MessageParser::Event event) {
+    bool HandleEvent(MessageParser::Event event) {
       using Event = MessageParser::Event;
       switch (event) {
         case Event::kNeedMore:
           return false;
         case Event::kHead:
-          incoming_ = new Exchange(*this, std::move(parser_.head()), began_);
-          Await(server_.options_.limits().idle_timeout);
+          incoming_ =
+              new Exchange(*this, std::move(parser_.head()), start_time_);
+          RestartTimer(server_.options_.limits().idle_timeout);
           if (incoming_->head().expects_continue) {
             socket_->Write("HTTP/1.1 100 Continue\r\n\r\n");
           }
@@ -187,42 +188,42 @@
           Dispatch();
           return true;
         case Event::kMalformed:
-          Refuse(kBadRequest);
+          Reject(kBadRequest);
           return false;
         case Event::kHeadTooLarge:
-          Refuse(kHeadTooLarge);
+          Reject(kHeadTooLarge);
           return false;
         case Event::kBodyTooLarge:
-          Refuse(kContentTooLarge);
+          Reject(kContentTooLarge);
           return false;
       }
       return false;
     }
 
     void BeginRequest() {
-      begun_ = true;
-      began_ = server_.loop_.Now();
-      Await(server_.options_.limits().head_timeout);
+      request_started_ = true;
+      start_time_ = server_.loop_.Now();
+      RestartTimer(server_.options_.limits().head_timeout);
     }
 
     void Dispatch() {
       server_.loop_.Cancel(timer_);
       exchange_ = std::move(incoming_);
-      begun_ = false;
+      request_started_ = false;
       // The handler may answer at once and so end this connection.
       const RelayExchangePtr exchange = exchange_;
       server_.handler_(exchange);
     }
 
     /// What was read is no request: nothing after it can be trusted.
-    void Refuse(int status) {
+    void Reject(int status) {
       incoming_ = nullptr;
-      SendWhole(status, {}, "");
+      SendResponse(status, {}, "");
     }
 
-    void Finish(bool close) {
+    void FinishResponse(bool close) {
       if (exchange_ != nullptr) {
-        exchange_->ForgetGone();
+        exchange_->ClearOnDisconnect();
         exchange_->Detach();
         exchange_ = nullptr;
       }
@@ -230,46 +231,48 @@
         Linger();
         return;
       }
-      Restart();
-      Advance();
+      WaitForRequest();
+      ProcessInput();
     }
 
-    void Restart() {
+    void WaitForRequest() {
       const CallerLimits limits = server_.options_.limits();
-      parser_.Next({limits.head_bytes, limits.body_bytes});
-      begun_ = false;
-      Await(limits.idle_timeout);
+      parser_.StartNext({limits.head_bytes, limits.body_bytes});
+      request_started_ = false;
+      RestartTimer(limits.idle_timeout);
     }
 
     void Linger() {
       lingering_ = true;
-      begun_ = false;
-      if (socket_->pending() == 0) {
+      request_started_ = false;
+      if (socket_->unsent_bytes() == 0) {
         socket_->ShutdownWrite();
       }
       server_.loop_.Cancel(timer_);
-      timer_ = server_.loop_.After(kLinger, [this] { LingerOver(); });
+      timer_ =
+          server_.loop_.After(kLingerTimeout, [this] { OnLingerTimeout(); });
     }
-    void LingerOver() {
-      if (socket_->pending() > 0) {
+    void OnLingerTimeout() {
+      if (socket_->unsent_bytes() > 0) {
         // A slow reader still takes its answer; the link's own time limit ends
         // one that takes nothing.
-        timer_ = server_.loop_.After(kLinger, [this] { LingerOver(); });
+        timer_ =
+            server_.loop_.After(kLingerTimeout, [this] { OnLingerTimeout(); });
         return;
       }
-      Retire();
+      Close();
     }
 
-    void Await(Duration limit) {
+    void RestartTimer(Duration limit) {
       server_.loop_.Cancel(timer_);
       timer_ = server_.loop_.After(limit, [this] { OnTimeout(); });
     }
     void OnTimeout() {
-      if (begun_) {
-        Refuse(kRequestTimeout);
+      if (request_started_) {
+        Reject(kRequestTimeout);
         return;
       }
-      Retire();
+      Close();
     }
 
     Impl& server_;
@@ -278,12 +281,12 @@
     TimerId timer_;
     boost::intrusive_ptr<Exchange> incoming_;
     boost::intrusive_ptr<Exchange> exchange_;
-    TimePoint began_{};
-    bool begun_ = false;
+    TimePoint start_time_{};
+    bool request_started_ = false;
     bool chunked_ = false;
     bool close_after_ = false;
     bool lingering_ = false;
-    bool retired_ = false;
+    bool closed_ = false;
   };
 
   void Accept(st_h2o_socket_t* socket) {
@@ -294,12 +297,12 @@
   /// A connection may end inside its own functions, so it is deleted later.
   void Remove(Connection& connection) {
     connections_.erase(connections_.iterator_to(connection));
-    if (dead_.empty()) {
-      burial_ = loop_.After(Duration{0}, [this] { Bury(); });
+    if (closed_connections_.empty()) {
+      deletion_timer_ = loop_.After(Duration{0}, [this] { DeleteClosed(); });
     }
-    dead_.emplace_back(&connection);
+    closed_connections_.emplace_back(&connection);
   }
-  void Bury() { dead_.clear(); }
+  void DeleteClosed() { closed_connections_.clear(); }
 
   void StopAccepting() {
     listener_.reset();
@@ -311,11 +314,11 @@
       }
     }
     for (Connection* connection : idle) {
-      connection->Retire();
+      connection->Close();
     }
   }
 
-  std::size_t active() const {
+  std::size_t active_requests() const {
     std::size_t count = 0;
     for (const Connection& connection : connections_) {
       count += connection.busy() ? 1 : 0;
@@ -330,15 +333,15 @@
   std::uint16_t port_ = 0;
   bool closing_ = false;
   intrusive::list<Connection> connections_;
-  std::vector<std::unique_ptr<Connection>> dead_;
-  TimerId burial_;
+  std::vector<std::unique_ptr<Connection>> closed_connections_;
+  TimerId deletion_timer_;
 };
 
-void RelayServer::Impl::Exchange::Answer(int status,
-                                         const HttpHeaders& fields,
-                                         std::string_view body) {
+void RelayServer::Impl::Exchange::Respond(int status,
+                                          const HttpHeaders& fields,
+                                          std::string_view body) {
   if (connection_ != nullptr) {
-    connection_->SendWhole(status, fields, body);
+    connection_->SendResponse(status, fields, body);
   }
 }
 void RelayServer::Impl::Exchange::Begin(int status, const HttpHeaders& fields) {
@@ -357,9 +360,9 @@
   }
 }
 void RelayServer::Impl::Exchange::Abort() {
-  ForgetGone();
+  ClearOnDisconnect();
   if (connection_ != nullptr) {
-    connection_->Retire();
+    connection_->Close();
   }
 }
 
@@ -374,8 +377,8 @@
 std::size_t RelayServer::connections() const {
   return impl_->connections_.size();
 }
-std::size_t RelayServer::active() const {
-  return impl_->active();
+std::size_t RelayServer::active_requests() const {
+  return impl_->active_requests();
 }
 void RelayServer::AnnounceClose() {
   impl_->closing_ = true;
--- a/packages/loop/src/rpc.cc
+++ b/packages/loop/src/rpc.cc
@@ -22,10 +22,10 @@
  public:
   explicit H2oStream(h2o_socket_t* socket) : socket_(socket) {
     socket_->data = this;
-    EndWhenSilent(h2o_socket_get_fd(socket_));
-    auto broken = kj::newPromiseAndFulfiller<void>();
-    disconnected_ = kj::mv(broken.fulfiller);
-    disconnect_ = broken.promise.fork();
+    EnableDeadPeerDetection(h2o_socket_get_fd(socket_));
+    auto disconnect = kj::newPromiseAndFulfiller<void>();
+    disconnect_fulfiller_ = kj::mv(disconnect.fulfiller);
+    disconnect_promise_ = disconnect.promise.fork();
     h2o_socket_read_start(socket_, &H2oStream::OnReadable);
   }
   ~H2oStream() noexcept(false) { h2o_socket_close(socket_); }
@@ -34,32 +34,33 @@
   kj::Promise<size_t> tryRead(void* buffer,
                               size_t min_bytes,
                               size_t max_bytes) override {
-    read_to_ = static_cast<char*>(buffer);
+    read_buffer_ = static_cast<char*>(buffer);
     read_min_ = min_bytes;
     read_max_ = max_bytes;
-    read_done_ = 0;
+    read_bytes_ = 0;
     auto promise = kj::newPromiseAndFulfiller<size_t>();
-    reading_ = kj::mv(promise.fulfiller);
-    Deliver();
+    read_fulfiller_ = kj::mv(promise.fulfiller);
+    DeliverInput();
     return kj::mv(promise.promise);
   }
 
   kj::Promise<void> write(const void* buffer, size_t size) override {
-    out_.assign(static_cast<const char*>(buffer), size);
+    write_buffer_.assign(static_cast<const char*>(buffer), size);
     return Flush();
   }
 
   kj::Promise<void> write(
       kj::ArrayPtr<const kj::ArrayPtr<const kj::byte>> pieces) override {
-    out_.clear();
+    write_buffer_.clear();
     for (const auto& piece : pieces) {
-      out_.append(reinterpret_cast<const char*>(piece.begin()), piece.size());
+      write_buffer_.append(reinterpret_cast<const char*>(piece.begin()),
+                           piece.size());
     }
     return Flush();
   }
 
   kj::Promise<void> whenWriteDisconnected() override {
-    return disconnect_.addBranch();
+    return disconnect_promise_.addBranch();
   }
   void shutdownWrite() override {
     shutdown(h2o_socket_get_fd(socket_), SHUT_WR);
@@ -71,14 +72,15 @@
     if (error != nullptr) {
       self->ended_ = true;
       h2o_socket_read_stop(socket);
-      self->disconnected_->fulfill();
+      self->disconnect_fulfiller_->fulfill();
     }
-    self->Deliver();
+    self->DeliverInput();
   }
 
   static void OnWritten(h2o_socket_t* socket, const char* error) {
     auto* self = static_cast<H2oStream*>(socket->data);
-    kj::Own<kj::PromiseFulfiller<void>> writing = kj::mv(self->writing_);
+    kj::Own<kj::PromiseFulfiller<void>> writing =
+        kj::mv(self->write_fulfiller_);
     if (error == nullptr) {
       writing->fulfill();
     } else {
@@ -91,40 +93,41 @@
       return KJ_EXCEPTION(DISCONNECTED, "the connection is closed");
     }
     auto promise = kj::newPromiseAndFulfiller<void>();
-    writing_ = kj::mv(promise.fulfiller);
-    h2o_iovec_t buffer = h2o_iovec_init(out_.data(), out_.size());
+    write_fulfiller_ = kj::mv(promise.fulfiller);
+    h2o_iovec_t buffer =
+        h2o_iovec_init(write_buffer_.data(), write_buffer_.size());
     h2o_socket_write(socket_, &buffer, 1, &H2oStream::OnWritten);
     return kj::mv(promise.promise);
   }
 
-  void Deliver() {
-    if (reading_.get() == nullptr) {
+  void DeliverInput() {
+    if (read_fulfiller_.get() == nullptr) {
       return;
     }
     h2o_buffer_t*& input = socket_->input;
-    const size_t part = std::min(read_max_ - read_done_, input->size);
+    const size_t part = std::min(read_max_ - read_bytes_, input->size);
     if (part > 0) {
-      std::memcpy(read_to_ + read_done_, input->bytes, part);
+      std::memcpy(read_buffer_ + read_bytes_, input->bytes, part);
       h2o_buffer_consume(&input, part);
-      read_done_ += part;
+      read_bytes_ += part;
     }
-    if (read_done_ >= read_min_ || ended_) {
-      auto reading = kj::mv(reading_);
-      reading->fulfill(kj::cp(read_done_));
+    if (read_bytes_ >= read_min_ || ended_) {
+      auto reading = kj::mv(read_fulfiller_);
+      reading->fulfill(kj::cp(read_bytes_));
     }
   }
 
   h2o_socket_t* socket_;
   bool ended_ = false;
-  char* read_to_ = nullptr;
+  char* read_buffer_ = nullptr;
   size_t read_min_ = 0;
   size_t read_max_ = 0;
-  size_t read_done_ = 0;
-  std::string out_;
-  kj::Own<kj::PromiseFulfiller<size_t>> reading_;
-  kj::Own<kj::PromiseFulfiller<void>> writing_;
-  kj::Own<kj::PromiseFulfiller<void>> disconnected_;
-  kj::ForkedPromise<void> disconnect_ = nullptr;
+  size_t read_bytes_ = 0;
+  std::string write_buffer_;
+  kj::Own<kj::PromiseFulfiller<size_t>> read_fulfiller_;
+  kj::Own<kj::PromiseFulfiller<void>> write_fulfiller_;
+  kj::Own<kj::PromiseFulfiller<void>> disconnect_fulfiller_;
+  kj::ForkedPromise<void> disconnect_promise_ = nullptr;
 };
 
 struct ServedConnection {
@@ -157,8 +160,8 @@
  private:
   void Serve(h2o_socket_t* socket) {
     auto connection = kj::heap<ServedConnection>(socket, bootstrap_);
-    auto gone = connection->network.onDisconnect();
-    tasks_.add(gone.attach(kj::mv(connection)));
+    auto disconnected = connection->network.onDisconnect();
+    tasks_.add(disconnected.attach(kj::mv(connection)));
   }
   void taskFailed(kj::Exception&& /*exception*/) override {}
 
@@ -192,7 +195,7 @@
        std::uint16_t port,
        std::function<void()> on_broken)
       : loop_(loop), on_broken_(std::move(on_broken)), tasks_(*this) {
-    if (auto target = Ipv4Address(address, port)) {
+    if (auto target = ParseIpv4Address(address, port)) {
       connecting_ =
           h2o_socket_connect(loop.h2o(), reinterpret_cast<sockaddr*>(&*target),
                              sizeof(*target), &Impl::OnConnected);
@@ -200,31 +203,32 @@
     if (connecting_ != nullptr) {
       connecting_->data = this;
     }
-    const Duration patience =
+    const Duration connect_timeout =
         connecting_ == nullptr ? Duration{0} : kConnectTimeout;
-    connect_timer_ = loop_.After(patience, [this] { GiveUp(); });
+    connect_timer_ =
+        loop_.After(connect_timeout, [this] { OnConnectTimeout(); });
   }
   ~Impl() {
     loop_.Cancel(connect_timer_);
     CloseConnecting();
   }
 
-  bool has_stood() const { return link_.get() != nullptr; }
-  bool connected() const { return has_stood() && !broken_; }
+  bool was_connected() const { return session_.get() != nullptr; }
+  bool connected() const { return was_connected() && !broken_; }
   capnp::Capability::Client bootstrap() {
     if (broken_) {
       return KJ_EXCEPTION(DISCONNECTED, "not connected");
     }
-    return connected() ? link_->bootstrap : awaited_;
+    return connected() ? session_->bootstrap : pending_bootstrap_;
   }
 
  private:
-  struct Link {
-    explicit Link(h2o_socket_t* socket)
+  struct Session {
+    explicit Session(h2o_socket_t* socket)
         : stream(socket),
           network(stream, capnp::rpc::twoparty::Side::CLIENT),
           rpc(capnp::makeRpcClient(network)),
-          bootstrap(AskForBootstrap()) {}
+          bootstrap(RequestBootstrap()) {}
 
     H2oStream stream;
     capnp::TwoPartyVatNetwork network;
@@ -235,7 +239,7 @@
     capnp::Capability::Client bootstrap;
 
    private:
-    capnp::Capability::Client AskForBootstrap() {
+    capnp::Capability::Client RequestBootstrap() {
       capnp::MallocMessageBuilder message;
       auto vat = message.initRoot<capnp::rpc::twoparty::VatId>();
       vat.setSide(capnp::rpc::twoparty::Side::SERVER);
@@ -249,46 +253,49 @@
     self->loop_.Cancel(self->connect_timer_);
     if (error != nullptr) {
       h2o_socket_close(socket);
-      self->Break();
+      self->MarkBroken();
       return;
     }
-    self->link_ = kj::heap<Link>(socket);
-    self->connected_.fulfiller->fulfill(kj::cp(self->link_->bootstrap));
-    self->tasks_.add(
-        self->link_->network.onDisconnect().then([self] { self->Break(); }));
+    self->session_ = kj::heap<Session>(socket);
+    self->bootstrap_promise_.fulfiller->fulfill(
+        kj::cp(self->session_->bootstrap));
+    self->tasks_.add(self->session_->network.onDisconnect().then(
+        [self] { self->MarkBroken(); }));
   }
   void CloseConnecting() {
     if (connecting_ != nullptr) {
       h2o_socket_close(std::exchange(connecting_, nullptr));
     }
   }
-  void GiveUp() {
+  void OnConnectTimeout() {
     CloseConnecting();
-    Break();
+    MarkBroken();
   }
-  void Break() {
+  void MarkBroken() {
     if (std::exchange(broken_, true)) {
       return;
     }
-    connected_.fulfiller->reject(KJ_EXCEPTION(DISCONNECTED, "no connection"));
+    bootstrap_promise_.fulfiller->reject(
+        KJ_EXCEPTION(DISCONNECTED, "no connection"));
     if (on_broken_) {
       on_broken_();
     }
   }
-  void taskFailed(kj::Exception&& /*exception*/) override { Break(); }
+  void taskFailed(kj::Exception&& /*exception*/) override { MarkBroken(); }
 
   EventLoop& loop_;
   std::function<void()> on_broken_;
   /// What calls go to until the connection stands. Failing them instead sent
   /// the first work for each scheduler back to its daemon, which then called
   /// the servers by itself: at the start, and after each loss of a scheduler.
-  kj::PromiseFulfillerPair<capnp::Capability::Client> connected_ =
+  kj::PromiseFulfillerPair<capnp::Capability::Client> bootstrap_promise_ =
       kj::newPromiseAndFulfiller<capnp::Capability::Client>();
-  capnp::Capability::Client awaited_{kj::mv(connected_.promise)};
+  capnp::Capability::Client pending_bootstrap_{
+      kj::mv(bootstrap_promise_.promise)};
   TimerId connect_timer_;
   h2o_socket_t* connecting_ = nullptr;
   bool broken_ = false;
-  kj::Own<Link> link_;
+  kj::Own<Session> session_;
   kj::TaskSet tasks_;
 };
 
@@ -302,8 +309,8 @@
 bool RpcConnection::connected() const {
   return impl_->connected();
 }
-bool RpcConnection::has_stood() const {
-  return impl_->has_stood();
+bool RpcConnection::was_connected() const {
+  return impl_->was_connected();
 }
 capnp::Capability::Client RpcConnection::bootstrap() {
   return impl_->bootstrap();
--- a/packages/loop/src/socket_options.cc
+++ b/packages/loop/src/socket_options.cc
@@ -9,11 +9,11 @@
 
 /// Many times a round trip between regions, and below every time limit of a
 /// call, so that a call on a dead connection still has time for another.
-constexpr int kUnacknowledgedMilliseconds = 1500;
+constexpr int kUserTimeoutMilliseconds = 1500;
 /// An idle connection is probed: silent for 1 s, then two probes 1 s apart.
-constexpr int kProbeAfterSeconds = 1;
-constexpr int kProbeEverySeconds = 1;
-constexpr int kProbes = 2;
+constexpr int kKeepaliveIdleSeconds = 1;
+constexpr int kKeepaliveIntervalSeconds = 1;
+constexpr int kMaxKeepaliveProbes = 2;
 
 void SetOption(int descriptor, int level, int name, int value) {
   setsockopt(descriptor, level, name, &value, sizeof(value));
@@ -21,13 +21,13 @@
 
 }  // namespace
 
-void EndWhenSilent(int descriptor) {
+void EnableDeadPeerDetection(int descriptor) {
   SetOption(descriptor, IPPROTO_TCP, TCP_USER_TIMEOUT,
-            kUnacknowledgedMilliseconds);
+            kUserTimeoutMilliseconds);
   SetOption(descriptor, SOL_SOCKET, SO_KEEPALIVE, 1);
-  SetOption(descriptor, IPPROTO_TCP, TCP_KEEPIDLE, kProbeAfterSeconds);
-  SetOption(descriptor, IPPROTO_TCP, TCP_KEEPINTVL, kProbeEverySeconds);
-  SetOption(descriptor, IPPROTO_TCP, TCP_KEEPCNT, kProbes);
+  SetOption(descriptor, IPPROTO_TCP, TCP_KEEPIDLE, kKeepaliveIdleSeconds);
+  SetOption(descriptor, IPPROTO_TCP, TCP_KEEPINTVL, kKeepaliveIntervalSeconds);
+  SetOption(descriptor, IPPROTO_TCP, TCP_KEEPCNT, kMaxKeepaliveProbes);
 }
 
 }  // namespace gentianroute
--- a/packages/loop/src/stream_socket.cc
+++ b/packages/loop/src/stream_socket.cc
@@ -12,7 +12,7 @@
 
 StreamSocket::StreamSocket(h2o_socket_t* accepted, Observer& observer)
     : observer_(observer), socket_(accepted) {
-  Adopt();
+  StartReading();
 }
 
 StreamSocket::StreamSocket(EventLoop& loop,
@@ -20,7 +20,7 @@
                            std::uint16_t port,
                            Observer& observer)
     : observer_(observer) {
-  auto target = Ipv4Address(address, port);
+  auto target = ParseIpv4Address(address, port);
   if (!target) {
     return;
   }
@@ -41,10 +41,10 @@
   }
 }
 
-void StreamSocket::Adopt() {
+void StreamSocket::StartReading() {
   socket_->data = this;
   connected_ = true;
-  EndWhenSilent(h2o_socket_get_fd(socket_));
+  EnableDeadPeerDetection(h2o_socket_get_fd(socket_));
   h2o_socket_read_start(socket_, &StreamSocket::OnReadable);
 }
 
@@ -54,7 +54,7 @@
     self->observer_.OnEnd(StreamEnd::kBroken);
     return;
   }
-  self->Adopt();
+  self->StartReading();
   bool destroyed = false;
   self->destroyed_ = &destroyed;
   self->observer_.OnConnected();
--- a/packages/loop/tests/event_loop_test.cc
+++ b/packages/loop/tests/event_loop_test.cc
@@ -52,15 +52,15 @@
   cr_assert_eq(runs, 3);
 }
 
-// A process is told to stop, or that its settings have changed, before it has
+// A process is called to stop, or that its settings have changed, before it has
 // come to watch for that: it must not end by the signal, as if it had failed.
 Test(event_loop, signal_before_it_is_watched_is_told_later) {
-  EventLoop::HoldSignals({SIGHUP});
+  EventLoop::BlockSignals({SIGHUP});
   raise(SIGHUP);
   EventLoop loop;
-  bool told = false;
-  loop.OnSignal(SIGHUP, [&told] { told = true; });
+  bool called = false;
+  loop.OnSignal(SIGHUP, [&called] { called = true; });
   loop.After(std::chrono::milliseconds(50), [&loop] { loop.Stop(); });
   loop.Run();
-  cr_assert(told);
+  cr_assert(called);
 }
--- a/packages/loop/tests/http_test.cc
+++ b/packages/loop/tests/http_test.cc
@@ -46,7 +46,7 @@
     HttpResult result;
     const TimerId guard =
         loop.After(std::chrono::seconds(10), [this] { loop.Stop(); });
-    client.Call(std::move(call), CollectAnswer([&](HttpResult answer) {
+    client.Call(std::move(call), CollectResponse([&](HttpResult answer) {
                   result = std::move(answer);
                   loop.Stop();
                 }));
@@ -62,7 +62,7 @@
 
 void Echo(const HttpRequest& request,
           const std::shared_ptr<HttpResponder>& responder) {
-  responder->Send({200, {}, std::to_string(request.connection)});
+  responder->Send({200, {}, std::to_string(request.connection_id)});
 }
 
 /// Sends a request over a blocking socket, and reads until the last chunk.
@@ -154,7 +154,7 @@
   });
   loop = &run.loop;
   const HttpResult result = run.Fetch(run.CallTo());
-  cr_assert_not(result.whole);
+  cr_assert_not(result.complete);
   cr_assert(result.error == HttpCallError::kTruncated);
 }
 
@@ -164,7 +164,7 @@
         responder->Abort();
       });
   const HttpResult result = run.Fetch(run.CallTo());
-  cr_assert_not(result.whole);
+  cr_assert_not(result.complete);
   cr_assert(result.error == HttpCallError::kReset);
 }
 
@@ -173,7 +173,7 @@
   HttpCall call = run.CallTo();
   run.server.StopAccepting();
   const HttpResult result = run.Fetch(std::move(call));
-  cr_assert_not(result.whole);
+  cr_assert_not(result.complete);
   cr_assert(result.error == HttpCallError::kConnect);
 }
 
@@ -184,7 +184,7 @@
   HttpCall fresh = run.CallTo();
   fresh.fresh_connection = true;
   cr_assert_neq(run.Fetch(std::move(fresh)).body, first);
-  run.client.CondemnConnections("127.0.0.1", run.server.port());
+  run.client.DiscardIdleConnections("127.0.0.1", run.server.port());
   cr_assert_neq(run.Fetch(run.CallTo()).body, first);
 }
 
@@ -205,13 +205,13 @@
   loop = &run.loop;
   const std::string first = run.Fetch(run.CallTo()).body;
   run.loop.After(milliseconds(10), [&run] {
-    run.client.CondemnConnections("127.0.0.1", run.server.port());
+    run.client.DiscardIdleConnections("127.0.0.1", run.server.port());
   });
-  cr_assert(run.Fetch(run.CallTo()).whole);
+  cr_assert(run.Fetch(run.CallTo()).complete);
   run.loop.After(milliseconds(2500), [&run] { run.loop.Stop(); });
   run.loop.Run();
   const HttpResult last = run.Fetch(run.CallTo());
-  cr_assert(last.whole);
+  cr_assert(last.complete);
   cr_assert_neq(last.body, first);
 }
 
@@ -241,7 +241,7 @@
   Loopback run(
       [&](const HttpRequest&, const std::shared_ptr<HttpResponder>& responder) {
         kept = responder;
-        responder->OnGone([&gone] { ++gone; });
+        responder->SetOnDisconnect([&gone] { ++gone; });
         responder->Begin(200, {});
       });
   int heard = 0;
@@ -263,7 +263,7 @@
   int handled = 0;
   HttpServer::Options options;
   options.max_body = 1024;
-  options.turned_down = [](int status) {
+  options.make_error_response = [](int status) {
     return HttpResponse{status, {{"x-ours", "1"}}, "ours"};
   };
   Loopback run([&](const HttpRequest&,
--- a/packages/loop/tests/message_parser_test.cc
+++ b/packages/loop/tests/message_parser_test.cc
@@ -27,8 +27,8 @@
   }
 };
 
-struct AnswerFixture {
-  MessageParser parser{MessageParser::Kind::kAnswer, kLimits};
+struct ResponseFixture {
+  MessageParser parser{MessageParser::Kind::kResponse, kLimits};
 
   Event Read(std::string_view bytes) {
     parser.Feed(bytes);
@@ -97,7 +97,7 @@
   cr_assert(fixture.Read(first + "GET /2 HTTP/1.1\r\nHost: h\r\n\r\n") ==
             Event::kEnd);
   cr_assert(fixture.parser.head().target == "/1");
-  fixture.parser.Next(kLimits);
+  fixture.parser.StartNext(kLimits);
   cr_assert(fixture.Read("") == Event::kEnd);
   cr_assert(fixture.parser.head().target == "/2");
 }
@@ -112,25 +112,25 @@
 }
 
 Test(message_parser, answer_without_a_length_ends_with_its_connection) {
-  AnswerFixture fixture;
+  ResponseFixture fixture;
   cr_assert(fixture.Read("HTTP/1.1 200 OK\r\n\r\npart") == Event::kNeedMore);
-  fixture.parser.FeedEnd();
+  fixture.parser.FeedEof();
   cr_assert(fixture.parser.Poll() == Event::kEnd);
 }
 
 Test(message_parser, answer_that_is_cut_is_not_whole) {
-  AnswerFixture fixture;
+  ResponseFixture fixture;
   cr_assert(fixture.Read("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\npart") ==
             Event::kNeedMore);
-  fixture.parser.FeedEnd();
+  fixture.parser.FeedEof();
   cr_assert(fixture.parser.Poll() == Event::kMalformed);
 }
 
 Test(message_parser, bytes_after_an_answer_are_seen) {
-  AnswerFixture fixture;
+  ResponseFixture fixture;
   fixture.Read("HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nxHTTP/1.1 200");
-  fixture.parser.Next(kLimits);
-  cr_assert(fixture.parser.begun());
+  fixture.parser.StartNext(kLimits);
+  cr_assert(fixture.parser.started());
 }
 
 // A caller's empty body in chunks arrives in two parts, cut before its last
--- a/packages/loop/tests/relay_fetches_test.cc
+++ b/packages/loop/tests/relay_fetches_test.cc
@@ -24,19 +24,19 @@
   RelayClient client{loop};
   RelayFetches fetches{loop, client};
 
-  std::optional<RelayFetchEnd> Fetch(std::uint16_t port) {
+  std::optional<RelayFetchResult> Fetch(std::uint16_t port) {
     constexpr Duration kTimeLimit = milliseconds(300);
-    std::optional<RelayFetchEnd> got;
+    std::optional<RelayFetchResult> received;
     RelayCall call;
     call.endpoint = {"127.0.0.1", port};
     call.message = "GET / HTTP/1.1\r\nHost: h\r\n\r\n";
-    fetches.Start(std::move(call), kTimeLimit, [&](RelayFetchEnd end) {
-      got = std::move(end);
+    fetches.Start(std::move(call), kTimeLimit, [&](RelayFetchResult result) {
+      received = std::move(result);
       loop.Stop();
     });
     loop.After(std::chrono::seconds(5), [this] { loop.Stop(); });
     loop.Run();
-    return got;
+    return received;
   }
 };
 
@@ -45,12 +45,12 @@
 Test(relay_fetches, whole_answer_is_handed_on) {
   FetchFixture fixture;
   fixture.handler = [](const RelayExchangePtr& exchange) {
-    exchange->Answer(200, {}, "all");
+    exchange->Respond(200, {}, "all");
   };
-  const auto end = fixture.Fetch(fixture.server.port());
-  cr_assert(end->whole);
-  cr_assert_eq(end->head.status, 200);
-  cr_assert(end->body == "all");
+  const auto result = fixture.Fetch(fixture.server.port());
+  cr_assert(result->complete);
+  cr_assert_eq(result->head.status, 200);
+  cr_assert(result->body == "all");
 }
 
 Test(relay_fetches, broken_answer_says_how) {
@@ -60,9 +60,9 @@
     exchange->Write("part");
     exchange->Abort();
   };
-  const auto cut = fixture.Fetch(fixture.server.port());
-  cr_assert_not(cut->whole);
-  cr_assert(cut->failure.has_value());
+  const auto truncated = fixture.Fetch(fixture.server.port());
+  cr_assert_not(truncated->complete);
+  cr_assert(truncated->failure.has_value());
   const std::uint16_t port = fixture.server.port();
   fixture.server.StopAccepting();
   const auto refused = fixture.Fetch(port);
@@ -77,11 +77,11 @@
   bool closed = false;
   fixture.handler = [&](RelayExchangePtr exchange) {
     held = std::move(exchange);
-    held->SetOnGone([&closed] { closed = true; });
+    held->SetOnDisconnect([&closed] { closed = true; });
   };
-  const auto end = fixture.Fetch(fixture.server.port());
-  cr_assert_not(end->whole);
-  cr_assert_not(end->failure.has_value());
+  const auto result = fixture.Fetch(fixture.server.port());
+  cr_assert_not(result->complete);
+  cr_assert_not(result->failure.has_value());
   fixture.loop.After(milliseconds(100), [&fixture] { fixture.loop.Stop(); });
   fixture.loop.Run();
   cr_assert(closed);
--- a/packages/loop/tests/rpc_test.cc
+++ b/packages/loop/tests/rpc_test.cc
@@ -25,8 +25,8 @@
   }
 };
 
-struct Links {
-  Links()
+struct RpcFixture {
+  RpcFixture()
       : server(std::make_unique<RpcServer>(loop,
                                            "127.0.0.1",
                                            0,
@@ -56,41 +56,41 @@
 TestSuite(rpc);
 
 Test(rpc, call_over_loopback_is_answered) {
-  Links links;
-  cr_assert(links.connection->connected());
+  RpcFixture fixture;
+  cr_assert(fixture.connection->connected());
   const auto answer =
-      links.peer().exchangeRequest().send().wait(links.loop.wait_scope());
+      fixture.peer().exchangeRequest().send().wait(fixture.loop.wait_scope());
   cr_assert_eq(answer.getYours().getRevision(), 7);
 }
 
 // The caller of a join waits for a peer that dies: the call must fail, so that
 // the caller is told, and the link must say once that it is broken.
 Test(rpc, peer_gone_during_a_call_fails_it_and_breaks_the_link) {
-  Links links;
+  RpcFixture fixture;
   bool failed = false;
-  auto call = links.peer().joinRequest().send().then(
+  auto call = fixture.peer().joinRequest().send().then(
       [](auto&&) {}, [&failed](kj::Exception&&) { failed = true; });
   auto running = call.eagerlyEvaluate(nullptr);
-  links.RunFor(milliseconds(50));
+  fixture.RunFor(milliseconds(50));
   cr_assert_not(failed);
-  links.server.reset();
-  links.RunFor(milliseconds(100));
+  fixture.server.reset();
+  fixture.RunFor(milliseconds(100));
   cr_assert(failed);
-  cr_assert_eq(links.broken, 1);
-  cr_assert_not(links.connection->connected());
+  cr_assert_eq(fixture.broken, 1);
+  cr_assert_not(fixture.connection->connected());
 }
 
 // A daemon gives a silent link up while a call waits on it: the call ends, and
 // nothing of the link is touched after it is gone.
 Test(rpc, link_destroyed_during_a_call_ends_the_call) {
-  Links links;
+  RpcFixture fixture;
   bool ended = false;
-  auto call = links.peer().joinRequest().send().then(
+  auto call = fixture.peer().joinRequest().send().then(
       [](auto&&) {}, [&ended](kj::Exception&&) { ended = true; });
   auto running = call.eagerlyEvaluate(nullptr);
-  links.RunFor(milliseconds(30));
-  links.connection.reset();
-  links.RunFor(milliseconds(50));
+  fixture.RunFor(milliseconds(30));
+  fixture.connection.reset();
+  fixture.RunFor(milliseconds(50));
   cr_assert(ended);
 }
 
@@ -98,22 +98,22 @@
 // it is made. It must not come back as failed: the peer lives, and would take
 // it.
 Test(rpc, call_made_while_connecting_is_sent_once_connected) {
-  Links links;
-  RpcConnection connection(links.loop, "127.0.0.1", links.server->port(),
+  RpcFixture fixture;
+  RpcConnection connection(fixture.loop, "127.0.0.1", fixture.server->port(),
                            nullptr);
   const auto answer = connection.bootstrap()
                           .castAs<schema::Peer>()
                           .exchangeRequest()
                           .send()
-                          .wait(links.loop.wait_scope());
+                          .wait(fixture.loop.wait_scope());
   cr_assert_eq(answer.getYours().getRevision(), 7);
 }
 
 Test(rpc, call_made_while_connecting_fails_with_the_link) {
-  Links links;
-  const std::uint16_t port = links.server->port();
-  links.server.reset();
-  RpcConnection connection(links.loop, "127.0.0.1", port, nullptr);
+  RpcFixture fixture;
+  const std::uint16_t port = fixture.server->port();
+  fixture.server.reset();
+  RpcConnection connection(fixture.loop, "127.0.0.1", port, nullptr);
   bool failed = false;
   auto call =
       connection.bootstrap()
@@ -122,18 +122,18 @@
           .send()
           .then([](auto&&) {}, [&failed](kj::Exception&&) { failed = true; })
           .eagerlyEvaluate(nullptr);
-  links.RunFor(milliseconds(50));
+  fixture.RunFor(milliseconds(50));
   cr_assert(failed);
 }
 
 Test(rpc, nobody_listens_breaks_once_and_calls_fail) {
-  Links links;
-  const std::uint16_t port = links.server->port();
-  links.server.reset();
+  RpcFixture fixture;
+  const std::uint16_t port = fixture.server->port();
+  fixture.server.reset();
   int broken = 0;
-  RpcConnection connection(links.loop, "127.0.0.1", port,
+  RpcConnection connection(fixture.loop, "127.0.0.1", port,
                            [&broken] { ++broken; });
-  links.RunFor(milliseconds(50));
+  fixture.RunFor(milliseconds(50));
   cr_assert_eq(broken, 1);
   cr_assert_not(connection.connected());
 }
@@ -142,25 +142,25 @@
 // next call to it was made before the link said that it was broken. Such a call
 // has to fail like any other; an exception out of a timer ends the process.
 Test(rpc, call_between_a_peers_end_and_the_links_does_not_throw) {
-  Links links;
+  RpcFixture fixture;
   bool threw = false;
   bool failed_again = false;
   kj::Promise<void> second = kj::READY_NOW;
-  auto first = links.peer().joinRequest().send().then(
+  auto first = fixture.peer().joinRequest().send().then(
       [](auto&&) {},
       [&](kj::Exception&&) {
         const auto thrown = kj::runCatchingExceptions([&] {
-          second = links.peer().exchangeRequest().send().then(
+          second = fixture.peer().exchangeRequest().send().then(
               [](auto&&) {},
               [&failed_again](kj::Exception&&) { failed_again = true; });
         });
         threw = thrown != nullptr;
       });
   auto running = first.eagerlyEvaluate(nullptr);
-  links.server.reset();
-  links.RunFor(milliseconds(100));
+  fixture.server.reset();
+  fixture.RunFor(milliseconds(100));
   auto ended = kj::mv(second).eagerlyEvaluate(nullptr);
-  links.RunFor(milliseconds(50));
+  fixture.RunFor(milliseconds(50));
   cr_assert_not(threw);
   cr_assert(failed_again);
 }
--- a/packages/loop/tests/stream_socket_test.cc
+++ b/packages/loop/tests/stream_socket_test.cc
@@ -12,29 +12,29 @@
 
 namespace {
 
-struct NoObserver final : StreamSocket::Observer {
+struct NullObserver final : StreamSocket::Observer {
   void OnData(std::string_view /*data*/) override {}
   void OnEnd(StreamEnd /*end*/) override {}
 };
 
-/// A far end that keeps all connections, and some near ends.
+/// A accepted end that keeps all connections, and some connected ends.
 struct SocketsFixture {
   EventLoop loop;
-  NoObserver observer;
-  std::vector<std::unique_ptr<StreamSocket>> far;
+  NullObserver observer;
+  std::vector<std::unique_ptr<StreamSocket>> accepted;
   std::unique_ptr<EventLoop::Listener> listener =
       loop.Listen("127.0.0.1", 0, [this](st_h2o_socket_t* socket) {
-        far.push_back(std::make_unique<StreamSocket>(socket, observer));
+        accepted.push_back(std::make_unique<StreamSocket>(socket, observer));
       });
-  std::vector<std::unique_ptr<StreamSocket>> near;
+  std::vector<std::unique_ptr<StreamSocket>> connected;
 
   void Connect(std::size_t sockets) {
     for (std::size_t i = 0; i < sockets; ++i) {
-      near.push_back(std::make_unique<StreamSocket>(
+      connected.push_back(std::make_unique<StreamSocket>(
           loop, "127.0.0.1", listener->port(), observer));
     }
   }
-  void Pass(Duration time) {
+  void RunFor(Duration time) {
     loop.After(time, [this] { loop.Stop(); });
     loop.Run();
   }
@@ -54,17 +54,17 @@
   SocketsFixture fixture;
   for (int i = 0; i < kRounds; ++i) {
     fixture.Connect(kSockets);
-    fixture.Pass(milliseconds(10));
+    fixture.RunFor(milliseconds(10));
     fixture.loop.After(milliseconds(1), [&fixture] {
-      for (const auto& socket : fixture.far) {
+      for (const auto& socket : fixture.accepted) {
         socket->Write("answer");
       }
-      fixture.far.clear();
-      fixture.near.clear();
+      fixture.accepted.clear();
+      fixture.connected.clear();
       fixture.Connect(kSockets);
     });
-    fixture.Pass(milliseconds(10));
-    fixture.near.clear();
-    fixture.far.clear();
+    fixture.RunFor(milliseconds(10));
+    fixture.connected.clear();
+    fixture.accepted.clear();
   }
 }
--- a/packages/platform/src/http_platform.cc
+++ b/packages/platform/src/http_platform.cc
@@ -55,7 +55,7 @@
 /// Whether the service took the call at all; only then may a lost answer hide
 /// a write.
 TableStatus StatusOf(const HttpResult& result) {
-  if (!result.whole) {
+  if (!result.complete) {
     return result.error == HttpCallError::kConnect ? TableStatus::kRefused
                                                    : TableStatus::kUnknown;
   }
@@ -91,7 +91,7 @@
 }
 
 ReadResult ReadResultOf(const HttpResult& result) {
-  if (!result.whole || result.status != kOk) {
+  if (!result.complete || result.status != kOk) {
     return {};
   }
   try {
@@ -142,7 +142,7 @@
   call.address = options_.address;
   call.port = options_.port;
   pending->call = client_.Call(
-      std::move(call), CollectAnswer([this, pending](HttpResult result) {
+      std::move(call), CollectResponse([this, pending](HttpResult result) {
         loop_.Cancel(pending->timer);
         std::exchange(pending->done, nullptr)(std::move(result));
       }));
@@ -152,7 +152,7 @@
   pending->timer = loop_.After(options_.timeout, [this, pending] {
     client_.Cancel(pending->call);
     // A connection that went silent may have taken its neighbours along.
-    client_.CondemnConnections(options_.address, options_.port);
+    client_.DiscardIdleConnections(options_.address, options_.port);
     HttpResult late;
     late.error = HttpCallError::kReset;
     late.detail = "no answer in time";
@@ -184,8 +184,8 @@
                        std::function<void(ObjectResult)> done) {
   Call(MakeCall("GET", "/v1/objects/" + name),
        [done = std::move(done)](HttpResult result) {
-         const bool found = result.whole && result.status == kOk;
-         const bool absent = result.whole && result.status == kNotFound;
+         const bool found = result.complete && result.status == kOk;
+         const bool absent = result.complete && result.status == kNotFound;
          ObjectResult object;
          object.answered = found || absent;
          if (found) {
@@ -200,7 +200,7 @@
                        std::function<void(bool)> done) {
   Call(MakeCall("PUT", "/v1/objects/" + name, std::move(content)),
        [done = std::move(done)](const HttpResult& result) {
-         done(result.whole && result.status == kOk);
+         done(result.complete && result.status == kOk);
        });
 }
 
@@ -217,7 +217,7 @@
 
 HostListing HttpPlatform::ListingOf(const HttpResult& result) {
   HostListing listing;
-  if (!result.whole) {
+  if (!result.complete) {
     return listing;
   }
   if (result.status == kNotModified) {
--- a/packages/platform/tests/http_platform_test.cc
+++ b/packages/platform/tests/http_platform_test.cc
@@ -39,8 +39,8 @@
     return HttpCallId{1};
   }
   void Cancel(HttpCallId /*call*/) override {}
-  void CondemnConnections(std::string_view /*address*/,
-                          std::uint16_t /*port*/) override {}
+  void DiscardIdleConnections(std::string_view /*address*/,
+                              std::uint16_t /*port*/) override {}
 
   HttpCall last_call_;
   std::optional<HttpCallError> error_;
--- a/standins/backend.cc
+++ b/standins/backend.cc
@@ -53,7 +53,7 @@
 Backend::Backend(EventLoop& loop, Options options)
     : loop_(loop),
       options_(std::move(options)),
-      incarnation_(static_cast<std::uint64_t>(loop.Wall())),
+      incarnation_(static_cast<std::uint64_t>(loop.WallTime())),
       cache_(options_.cache_entries),
       server_(loop,
               {.port = options_.port},
@@ -117,7 +117,7 @@
 
 bool Backend::Unreachable(const HttpRequest& request,
                           HttpResponder& responder) const {
-  if (faults_.Silent(request.connection)) {
+  if (faults_.Silent(request.connection_id)) {
     return true;
   }
   if (faults_.outage) {
@@ -162,7 +162,7 @@
 
 void Backend::Control(const HttpRequest& request, HttpResponder& responder) {
   if (request.path == "/control/faults") {
-    faults_.Update(json::parse(request.body), request.connection);
+    faults_.Update(json::parse(request.body), request.connection_id);
     responder.Send({200, {}, "{}"});
     return;
   }
--- a/standins/platform.cc
+++ b/standins/platform.cc
@@ -38,7 +38,7 @@
 void Platform::OnRequest(const HttpRequest& request,
                          const std::shared_ptr<HttpResponder>& responder) {
   if (request.path == "/control/faults") {
-    faults_.Update(json::parse(request.body), request.connection);
+    faults_.Update(json::parse(request.body), request.connection_id);
     responder->Send(JsonResponse(200, json::object()));
     return;
   }
@@ -55,7 +55,7 @@
                                        {"whole_lists", traffic_.whole_lists}}));
     return;
   }
-  if (faults_.Silent(request.connection)) {
+  if (faults_.Silent(request.connection_id)) {
     return;
   }
   if (faults_.outage) {
--- a/tests/soak/soak_callers.cc
+++ b/tests/soak/soak_callers.cc
@@ -264,7 +264,7 @@
   plan.asked.daemon_start = daemon.start();
   plan.call.endpoint = {"127.0.0.1", daemon.callers_port()};
   plan.call.message = TextOf(plan.id, plan.asked, drawn.key);
-  plan.call.reuse_within = kReuse;
+  plan.call.max_idle = kReuse;
   return plan;
 }
 
@@ -291,8 +291,8 @@
     fields.push_back({"Gentianroute-Chunk-Count", pieces});
     fields.push_back({"Gentianroute-Chunk-Key", asked.stage_key});
   }
-  return RequestHeadText("POST", asked.target, fields, BodyFraming::kLength,
-                         asked.body.size()) +
+  return SerialiseRequestHead("POST", asked.target, fields,
+                              BodyFraming::kLength, asked.body.size()) +
          asked.body;
 }
 
--- a/tests/soak/soak_servers.cc
+++ b/tests/soak/soak_servers.cc
@@ -271,11 +271,11 @@
       return;
     }
     stream->peer.Send(
-        AnswerHeadText(200,
-                       {{"Content-Type", "text/event-stream"},
-                        {"Gentianroute-Request-Id", stream->id},
-                        {"Gentianroute-Response-Signature", signature}},
-                       BodyFraming::kChunked, 0, false));
+        SerialiseResponseHead(200,
+                              {{"Content-Type", "text/event-stream"},
+                               {"Gentianroute-Request-Id", stream->id},
+                               {"Gentianroute-Response-Signature", signature}},
+                              BodyFraming::kChunked, 0, false));
     SendEvent(stream);
   });
 }
@@ -296,12 +296,12 @@
   if (Draw(faults_.broken_streams)) {
     // In the middle of an event.
     running_.erase(stream->id);
-    peer.Send(ChunkText(event.substr(0, event.size() / 2)));
+    peer.Send(SerialiseChunk(event.substr(0, event.size() / 2)));
     peer.Close();
     return;
   }
   ++stream->next;
-  peer.Send(ChunkText(event));
+  peer.Send(SerialiseChunk(event));
   After(kNextEvent, [this, stream] { SendEvent(stream); });
 }
 
