--- a/packages/loop/include/gentianroute/loop/datagram_socket.h
+++ b/packages/loop/include/gentianroute/loop/datagram_socket.h
@@ -11,12 +11,12 @@
 
 namespace gentianroute {
 
-/// @brief Datagrams over IPv4: for state that the next message replaces.
+/// @brief UDP socket for IPv4, for state that each message replaces in full.
 class DatagramSocket {
  public:
   using Receiver = std::function<void(std::span<const std::byte>)>;
 
-  /// @throws std::runtime_error if the address can't be used
+  /// @throws std::runtime_error if the address can't be bound
   DatagramSocket(EventLoop& loop,
                  std::string_view address,
                  std::uint16_t port,
@@ -25,7 +25,7 @@
   DatagramSocket(const DatagramSocket&) = delete;
   DatagramSocket& operator=(const DatagramSocket&) = delete;
 
-  /// @brief Sends one; it may be lost, and nobody hears of it.
+  /// @brief Sends one datagram. Errors and losses are not reported.
   void Send(std::string_view address,
             std::uint16_t port,
             std::span<const std::byte> message);
--- a/packages/loop/include/gentianroute/loop/event_loop.h
+++ b/packages/loop/include/gentianroute/loop/event_loop.h
@@ -22,11 +22,12 @@
 
 using TimerId = Id<struct LoopTimerTag>;
 
-/// @brief The one loop on the one thread: h2o's sockets, Cap'n Proto's promises
-/// and timers.
+/// @brief Single-threaded event loop for h2o sockets, Cap'n Proto promises and
+/// timers.
 ///
-/// h2o 2.2.5 keeps one duration per timer list, so deadlines live here, in an
-/// ordered map, and the next one bounds h2o's wait.
+/// h2o 2.2.5 supports only one duration per timer list. Timers are therefore
+/// kept in a map ordered by deadline, and the earliest one limits how long h2o
+/// polls.
 class EventLoop {
  public:
   using Callback = std::function<void()>;
@@ -36,35 +37,38 @@
   EventLoop(const EventLoop&) = delete;
   EventLoop& operator=(const EventLoop&) = delete;
 
-  /// @brief Time since the loop was made; monotonic.
+  /// @brief Monotonic time since the loop was created.
   TimePoint Now() const;
-  /// @brief WallTime-clock time, only for rows that others read.
+  /// @brief Wall-clock time. Only for timestamps that other processes read.
   UnixMicros WallTime() const;
 
-  /// @brief Calls back once, not before `due`.
+  /// @brief Runs the callback once, not before `due`.
   TimerId At(TimePoint due, Callback callback);
   TimerId After(Duration delay, Callback callback);
-  /// @brief Calls back again and again until cancelled.
+  /// @brief Runs the callback periodically until cancelled.
   TimerId Every(Duration period, Callback callback);
   void Cancel(TimerId timer);
 
-  /// @brief Lets signals wait until OnSignal() watches them.
+  /// @brief Blocks signals, so that they stay pending until OnSignal() is
+  /// called for them.
   ///
-  /// For the first thing that a program does: one that is told to stop, or that
-  /// its settings have changed, in the moments of its start would end by the
-  /// signal, as if it had failed.
+  /// Call it first in main(): a signal to stop or to reload the settings that
+  /// arrives during startup would otherwise terminate the process by its
+  /// default action, which looks like a crash.
   static void BlockSignals(std::initializer_list<int> signals);
-  /// @brief Calls back on a signal; the signal is blocked otherwise.
+  /// @brief Runs the callback each time the signal arrives. Blocks the
+  /// signal and reads it from a signalfd.
   void OnSignal(int signal, Callback callback);
 
-  /// @brief Accepts connections until `Listener` is destroyed.
+  /// @brief Accepts connections until it is destroyed.
   class Listener {
    public:
     virtual ~Listener() = default;
-    /// @return the port in use, also where 0 was asked for
+    /// @return the bound port, also if port 0 was requested
     virtual std::uint16_t port() const = 0;
   };
-  /// @throws std::runtime_error if the address can't be used; the text names it
+  /// @throws std::runtime_error if the address can't be bound; the message
+  /// contains the address
   std::unique_ptr<Listener> Listen(
       std::string_view address,
       std::uint16_t port,
--- a/packages/loop/include/gentianroute/loop/h2o.h
+++ b/packages/loop/include/gentianroute/loop/h2o.h
@@ -1,8 +1,8 @@
 #ifndef GENTIANROUTE_LOOP_H2O_H_
 #define GENTIANROUTE_LOOP_H2O_H_
 
-// The one place that includes h2o. Two of its headers lack C linkage, and its
-// flexible structs upset C++ warnings.
+// Include h2o only through this header. Two of h2o's headers lack extern "C",
+// and its flexible array members cause warnings in C++.
 
 #pragma GCC diagnostic push
 #pragma GCC diagnostic ignored "-Wpedantic"
--- a/packages/loop/include/gentianroute/loop/h2o_http_client.h
+++ b/packages/loop/include/gentianroute/loop/h2o_http_client.h
@@ -9,16 +9,16 @@
 
 namespace gentianroute {
 
-/// @brief HTTP/1.1 calls by h2o's client, with a pool per server.
+/// @brief HTTP/1.1 client based on h2o, with a connection pool per server.
 class H2oHttpClient final : public HttpClient {
  public:
   struct Options {
-    /// Idle connections older than this are closed: something between the two
-    /// ends may lose track of them without telling either.
+    /// Connections that have been idle for longer are closed, since a middlebox
+    /// such as a NAT may have dropped their state without notifying either end.
     Duration max_idle = std::chrono::seconds(2);
-    /// Upper bound on silence; callers set tighter ones with their own timers.
+    /// Maximum time without I/O; callers enforce shorter limits with timers.
     Duration io_timeout = std::chrono::seconds(60);
-    /// Between looks for pools that hold no connection any more.
+    /// Interval between removals of pools that have no connection left.
     Duration sweep_period = std::chrono::seconds(30);
   };
 
--- a/packages/loop/include/gentianroute/loop/http.h
+++ b/packages/loop/include/gentianroute/loop/http.h
@@ -12,26 +12,28 @@
 
 namespace gentianroute {
 
-/// @brief A header field; names are lower case.
+/// @brief A header field. HttpServer and HttpClient deliver names in lower
+/// case, MessageParser as sent.
 struct HttpHeader {
   std::string name;
   std::string value;
 };
 using HttpHeaders = std::vector<HttpHeader>;
 
-/// @brief The first field with this name.
+/// @brief Value of the first field with this name; case-sensitive.
 /// @return empty if there is none
 std::string_view FindHeader(const HttpHeaders& headers, std::string_view name);
 
-/// @brief A whole request as the server read it.
+/// @brief A complete request as received by HttpServer.
 struct HttpRequest {
   std::string method;
   std::string path;   ///< without the query
   std::string query;  ///< without the question mark
   HttpHeaders headers;
   std::string body;
-  std::uint64_t connection_id = 0;  ///< rises with each new connection
-  /// Came over one connection more than the server takes; to be refused.
+  std::uint64_t connection_id = 0;  ///< increases with each connection
+  /// The connection exceeds the server's limit; the handler must reject the
+  /// request.
   bool over_limit = false;
 };
 
@@ -41,52 +43,56 @@
   std::string body;
 };
 
-/// @brief Answers one request, now or later, whole or as a stream.
+/// @brief Sends the response to one request, at once or later, in one piece or
+/// streamed.
 class HttpResponder {
  public:
   virtual ~HttpResponder() = default;
 
-  /// @brief The whole answer. Nothing happens if the caller has gone.
+  /// @brief Sends a complete response. Does nothing if the client has
+  /// disconnected.
   virtual void Send(HttpResponse response) = 0;
-  /// @brief Begins a streamed answer; Write() and then End() follow.
+  /// @brief Begins a streamed response; Write() and then End() follow.
   virtual void Begin(int status, HttpHeaders headers) = 0;
   virtual void Write(std::string_view text) = 0;
   virtual void End() = 0;
-  /// @brief Closes the connection at once, whatever was sent so far.
+  /// @brief Closes the connection at once, even within a response.
   virtual void Abort() = 0;
-  /// @brief Called once if the connection closes before the answer is sent.
+  /// @brief Sets a callback that runs once if the connection closes before the
+  /// response is sent.
   virtual void SetOnDisconnect(std::function<void()> callback) = 0;
 };
 
 using HttpHandler =
     std::function<void(HttpRequest, std::shared_ptr<HttpResponder>)>;
 
-/// @brief One call to another server.
+/// @brief One request to another server.
 struct HttpCall {
-  std::string address;  ///< IP number
+  std::string address;  ///< IPv4 address
   std::uint16_t port = 0;
   std::string method = "GET";
   std::string path = "/";
   HttpHeaders headers;
   std::string body;
-  /// A connection of its own, neither taken from the pool nor returned to it.
+  /// Whether to use a new connection that is not returned to the pool.
   bool fresh_connection = false;
 };
 
 using HttpCallId = Id<struct HttpCallTag>;
 
-/// @brief How a call ended without a whole answer.
+/// @brief Why a call ended without a complete response.
 enum class HttpCallError : std::uint8_t {
-  kConnect,    ///< nothing was written
-  kReset,      ///< broke before the head of the answer was whole
-  kTruncated,  ///< broke in the body, or the body had no framing
+  kConnect,    ///< not connected, so no byte was sent
+  kReset,      ///< connection lost before the response head was complete
+  kTruncated,  ///< body incomplete, or its end can't be determined
 };
 
-/// @brief Hears of one call. Exactly one of OnDone and OnError ends it.
+/// @brief Receives the events of one call. The last is either OnDone or
+/// OnError.
 class HttpCallObserver {
  public:
   virtual ~HttpCallObserver() = default;
-  /// @brief The connection stands and the first byte is about to go.
+  /// @brief Called when connected, before the first byte is written.
   virtual void OnConnected() {}
   virtual void OnHead(int status, const HttpHeaders& headers) = 0;
   virtual void OnBody(std::string_view part) = 0;
@@ -94,29 +100,31 @@
   virtual void OnError(HttpCallError error, std::string_view detail) = 0;
 };
 
-/// @brief Calls to other servers; faked in tests.
+/// @brief HTTP client interface; tests substitute a fake.
 class HttpClient {
  public:
   virtual ~HttpClient() = default;
   virtual HttpCallId Call(HttpCall call,
                           std::unique_ptr<HttpCallObserver> observer) = 0;
-  /// @brief Ends a call; its observer is destroyed and hears nothing more.
+  /// @brief Cancels a call and destroys its observer without calling it again.
   virtual void Cancel(HttpCallId call) = 0;
-  /// @brief Uses none of the present idle connections to a server again.
+  /// @brief Stops reusing the current idle connections to a server.
   virtual void DiscardIdleConnections(std::string_view address,
                                       std::uint16_t port) = 0;
 };
 
-/// @brief Collects a whole answer and hands it on in one piece.
-/// @param done called once; `error` is null for a whole answer
+/// @brief Outcome of a call.
 struct HttpResult {
-  bool complete = false;
+  bool complete = false;  ///< if false, `error` and `detail` are valid
   HttpCallError error = HttpCallError::kConnect;
   std::string detail;
   int status = 0;
   HttpHeaders headers;
   std::string body;
 };
+/// @brief Creates an observer that collects the response and delivers it in one
+/// piece.
+/// @param done called once
 std::unique_ptr<HttpCallObserver> CollectResponse(
     std::function<void(HttpResult)> done);
 
--- a/packages/loop/include/gentianroute/loop/http_server.h
+++ b/packages/loop/include/gentianroute/loop/http_server.h
@@ -12,7 +12,7 @@
 
 namespace gentianroute {
 
-/// @brief HTTP/1.1 and HTTP/2 by h2o, with TLS if a certificate is given.
+/// @brief h2o server for HTTP/1.1 and HTTP/2, with TLS if a certificate is set.
 class HttpServer {
  public:
   struct Options {
@@ -22,23 +22,23 @@
     std::string key_file;
     std::size_t max_body = 1024 * 1024;
     std::size_t max_connections = 4096;
-    /// Makes the answer to a request that h2o itself turns down, such as a body
-    /// over the limit; null: h2o's own text.
+    /// Creates the response to a request that h2o itself rejects, for example
+    /// because its body exceeds `max_body`. Null sends h2o's default response.
     std::function<HttpResponse(int status)> make_error_response;
   };
 
-  /// @throws std::runtime_error if the address or the certificate can't be
-  /// used; the text says which and why
+  /// @throws std::runtime_error if the address can't be bound or the
+  /// certificate can't be loaded; the message says which and why
   HttpServer(EventLoop& loop, Options options, HttpHandler handler);
   ~HttpServer();
 
   std::uint16_t port() const;
   std::size_t connections() const;
 
-  /// @brief Takes no new connection; those that are open go on.
+  /// @brief Stops accepting connections; open ones continue.
   void StopAccepting();
-  /// @brief Asks the other ends to close: HTTP/2 by GOAWAY, HTTP/1.1 by
-  /// `Connection: close` on the next answer.
+  /// @brief Asks clients to close their connections, by GOAWAY for HTTP/2 and
+  /// by `Connection: close` in the next response for HTTP/1.1.
   void BeginShutdown();
 
  private:
--- a/packages/loop/include/gentianroute/loop/ipv4_address.h
+++ b/packages/loop/include/gentianroute/loop/ipv4_address.h
@@ -11,8 +11,8 @@
 
 namespace gentianroute {
 
-/// @brief A socket address of an IP number and a port.
-/// @return nothing if the text is no IP number
+/// @brief Creates a socket address from a dotted IPv4 address and a port.
+/// @return empty if `number` is not an IPv4 address
 ///
 /// @example ParseIpv4Address("127.0.0.1", 80)
 inline std::optional<sockaddr_in> ParseIpv4Address(std::string_view number,
--- a/packages/loop/include/gentianroute/loop/message_parser.h
+++ b/packages/loop/include/gentianroute/loop/message_parser.h
@@ -11,32 +11,33 @@
 
 namespace gentianroute {
 
-/// @brief The head of an HTTP/1.1 message, byte for byte as it was sent.
+/// @brief Head of an HTTP/1.1 message, with target and fields as sent.
 struct MessageHead {
   std::string method;  ///< requests only
   std::string target;  ///< path and query, not normalised; requests only
-  int status = 0;      ///< answers only
-  HttpHeaders fields;  ///< names in the sender's spelling
+  int status = 0;      ///< responses only
+  HttpHeaders fields;  ///< names in the sender's letter case
   bool keep_alive = true;
-  bool version_1_0 = false;  ///< the sender does not know chunks
+  bool version_1_0 = false;  ///< the sender does not support chunked coding
   bool expects_continue = false;
 };
 
-/// @brief The first field with this name, whatever its case.
+/// @brief Finds the first field with this name, ignoring case.
 /// @return null if there is none; an empty value is not null
 const std::string* FindField(const HttpHeaders& fields, std::string_view name);
 
-/// @brief The value of that field.
+/// @brief Value of the first field with this name, ignoring case.
 /// @return empty if there is none
 std::string FieldValue(const HttpHeaders& fields, std::string_view name);
 
-/// @brief Whether two field names are equal but for case.
+/// @brief Whether two field names are equal, ignoring case.
 bool SameFieldName(std::string_view a, std::string_view b);
 
-/// @brief Takes HTTP/1.1 messages of one connection apart, one after the other.
+/// @brief Incremental parser for the HTTP/1.1 messages of one connection.
 ///
-/// What follows a message stays unread until Next(): a request that a caller
-/// sent early waits, and bytes after an answer can be seen for what they are.
+/// Input after the end of a message stays buffered until StartNext(): a
+/// pipelined request waits for its turn, and unexpected bytes after a response
+/// can be detected.
 class MessageParser {
  public:
   enum class Kind : std::uint8_t { kRequest, kResponse };
@@ -44,7 +45,7 @@
     kNeedMore,
     kHead,
     kBody,
-    kEnd,  ///< the message is whole
+    kEnd,  ///< the message is complete
     kMalformed,
     kHeadTooLarge,
     kBodyTooLarge,
@@ -58,18 +59,20 @@
   ~MessageParser();
 
   void Feed(std::string_view data);
-  /// @brief The far end closed in order: ends a body without a length.
+  /// @brief Signals an orderly close by the peer, which ends a body that has
+  /// neither a length nor chunks.
   void FeedEof();
-  /// @brief The next thing in the bytes so far; call until kNeedMore.
+  /// @brief Parses the next event from the buffered input; call it until it
+  /// returns kNeedMore.
   Event Poll();
-  /// @brief Begins the message after one that is whole.
+  /// @brief Starts parsing the next message after a complete one.
   void StartNext(Limits limits);
 
-  /// @brief Valid after kHead, until Next().
+  /// @brief Valid from kHead until StartNext().
   MessageHead& head();
-  /// @brief The part of the body that kBody announced.
+  /// @brief Body data of the last kBody event.
   const std::string& body() const;
-  /// @brief Whether any byte of the present message has arrived.
+  /// @brief Whether any byte of the current message has arrived.
   bool started() const;
 
  private:
--- a/packages/loop/include/gentianroute/loop/message_text.h
+++ b/packages/loop/include/gentianroute/loop/message_text.h
@@ -9,14 +9,14 @@
 
 namespace gentianroute {
 
-/// @brief How the end of a body is told on the wire.
+/// @brief How a message marks the end of its body.
 enum class BodyFraming : std::uint8_t {
-  kNone,     ///< a request without a body
-  kLength,   ///< a length in the head
-  kChunked,  ///< chunks; a cut one can't look whole
+  kNone,     ///< no body, or one that the close of the connection ends
+  kLength,   ///< Content-Length
+  kChunked,  ///< chunked coding, so that truncation is detected
 };
 
-/// @brief Head of a request, up to and with the empty line.
+/// @brief Serialises a request head, including the final empty line.
 /// @param body_bytes used with kLength
 std::string SerialiseRequestHead(std::string_view method,
                                  std::string_view target,
@@ -24,20 +24,21 @@
                                  BodyFraming framing,
                                  std::size_t body_bytes);
 
-/// @brief Head of an answer, up to and with the empty line.
-/// @param close whether the connection ends with this answer
+/// @brief Serialises a response head, including the final empty line.
+/// @param close whether to add `Connection: close`
 std::string SerialiseResponseHead(int status,
                                   const HttpHeaders& fields,
                                   BodyFraming framing,
                                   std::size_t body_bytes,
                                   bool close);
 
-/// @brief One chunk with its size line.
+/// @brief Serialises one chunk, including its size line.
 std::string SerialiseChunk(std::string_view data);
 inline constexpr std::string_view kLastChunk = "0\r\n\r\n";
 
-/// @brief Whether a field concerns only the connection that it came on, by its
-/// name or because the sender's `Connection` field names it.
+/// @brief Whether a field is hop-by-hop and must not be forwarded.
+/// @param connection value of the message's `Connection` field, whose listed
+/// fields are hop-by-hop too
 bool IsHopByHopField(std::string_view name, std::string_view connection);
 
 }  // namespace gentianroute
--- a/packages/loop/include/gentianroute/loop/relay_client.h
+++ b/packages/loop/include/gentianroute/loop/relay_client.h
@@ -15,7 +15,7 @@
 
 namespace gentianroute {
 
-/// @brief An IP number with a port.
+/// @brief An IPv4 address and a port.
 struct Endpoint {
   std::string address;
   std::uint16_t port = 0;
@@ -24,31 +24,33 @@
   std::string ToString() const { return address + ":" + std::to_string(port); }
 };
 
-/// @brief One call, as the bytes that go out.
+/// @brief One HTTP request in serialised form, with its connection options.
 struct RelayCall {
   Endpoint endpoint;
-  std::string message;                ///< the whole request, head and body
+  std::string message;                ///< the complete request, head and body
   bool response_has_no_body = false;  ///< the request was a HEAD
-  /// An idle connection is used only if it has been idle for less; zero: a
-  /// fresh connection, whose failure is never a close that crossed the call.
+  /// An idle connection is reused only if it has been idle for less than this.
+  /// Zero forces a new connection, which can't fail because the server closed
+  /// it as idle while the request was on its way.
   Duration max_idle = std::chrono::seconds(4);
-  /// Whether the connection may serve another call later.
+  /// Whether the connection may be reused for a later request.
   bool keep_connection = true;
-  /// Tells the answer of this call from a stray one of a call before it; a
-  /// stray one is dropped. Null: the first answer is taken.
+  /// Returns whether a response belongs to this request; a late response to an
+  /// earlier request is discarded. Null accepts the first response.
   std::function<bool(const MessageHead&)> matches_response;
 };
 
 using RelayCallId = Id<struct RelayCallTag>;
 
 enum class RelayFailure : std::uint8_t {
-  kNotSent,    ///< no connection stood, so no byte has gone out
-  kReset,      ///< broke before the head of the answer was whole
-  kTruncated,  ///< broke in the body
-  kMalformed,  ///< bytes that are no answer
+  kNotSent,    ///< not connected, so no byte was sent
+  kReset,      ///< connection lost before the response head was complete
+  kTruncated,  ///< connection lost within the response body
+  kMalformed,  ///< the received bytes are not a valid response
 };
 
-/// @brief Hears of one call; OnDone() or OnFailure() is the last.
+/// @brief Receives the events of one request; OnDone() or OnFailure() is the
+/// last.
 class RelayCallObserver {
  public:
   virtual ~RelayCallObserver() = default;
@@ -58,21 +60,25 @@
   virtual void OnFailure(RelayFailure failure) = 0;
 };
 
-/// @brief HTTP/1.1 calls that tell a close from a reset, see bytes after an
-/// answer, and know how old a connection is.
+/// @brief HTTP/1.1 client with a connection pool per server.
+///
+/// Unlike h2o's client, it distinguishes an orderly close from a reset, detects
+/// unexpected bytes after a response, and limits the idle time of a reused
+/// connection per request.
 class RelayClient {
  public:
   explicit RelayClient(EventLoop& loop);
   ~RelayClient();
 
-  /// @param observer outlives the call, or cancels it
+  /// @param observer must outlive the call or cancel it
   RelayCallId Call(RelayCall call, RelayCallObserver& observer);
-  /// @brief Ends a call by closing its connection; nothing more is heard.
+  /// @brief Cancels a call and closes its connection; its observer isn't called
+  /// again.
   void Cancel(RelayCallId call);
 
-  /// @brief Connections to one server, busy and idle.
+  /// @brief Number of connections to one server, busy and idle.
   std::size_t connections(const Endpoint& endpoint) const;
-  /// @brief Connections opened since the start.
+  /// @brief Number of connections opened since this was constructed.
   std::uint64_t opened() const;
 
  private:
--- a/packages/loop/include/gentianroute/loop/relay_fetches.h
+++ b/packages/loop/include/gentianroute/loop/relay_fetches.h
@@ -13,17 +13,18 @@
 
 namespace gentianroute {
 
-/// @brief What one call came back with.
+/// @brief Outcome of one call.
 struct RelayFetchResult {
-  bool complete = false;  ///< else `head` and `body` say nothing
-  /// How it broke; empty if no answer came in time.
+  bool complete = false;  ///< if false, `head` and `body` are not valid
+  /// Empty if the call succeeded or reached its time limit.
   std::optional<RelayFailure> failure;
   MessageHead head;
   std::string body;
 };
 
-/// @brief Calls of which only the whole answer is wanted, each under a time
-/// limit. A call that is given up is closed.
+/// @brief Runs calls with a time limit each and delivers complete responses.
+///
+/// The connection of a call that reaches its time limit is closed.
 class RelayFetches {
  public:
   using Done = std::function<void(RelayFetchResult)>;
@@ -31,7 +32,7 @@
   RelayFetches(EventLoop& loop, RelayClient& client);
   ~RelayFetches();
 
-  /// @param done called once, unless this is destroyed before
+  /// @param done called once, unless this object is destroyed first
   void Start(RelayCall call, Duration time_limit, Done done);
 
  private:
--- a/packages/loop/include/gentianroute/loop/relay_server.h
+++ b/packages/loop/include/gentianroute/loop/relay_server.h
@@ -18,10 +18,10 @@
 
 namespace gentianroute {
 
-/// @brief A caller's whole request and the way to answer it, once.
+/// @brief A client's complete request and the means to send one response.
 ///
-/// Shared by count between the connection and whoever makes the answer; either
-/// may let go first.
+/// Reference-counted, since the connection and the request handler share it and
+/// either may release it first.
 class RelayExchange
     : public boost::intrusive_ref_counter<RelayExchange,
                                           boost::thread_unsafe_counter> {
@@ -30,23 +30,27 @@
 
   const MessageHead& head() const { return head_; }
   const std::string& body() const { return body_; }
-  /// @brief When the first byte of the request arrived.
+  /// @brief Time at which the first byte of the request arrived.
   TimePoint start_time() const { return start_time_; }
 
-  /// @brief Called once if the caller closes before it has its answer.
+  /// @brief Sets a callback that runs once if the client disconnects before its
+  /// response is complete.
   void SetOnDisconnect(std::function<void()> callback) {
     on_disconnect_ = std::move(callback);
   }
 
-  /// @brief The whole answer. Nothing happens if the caller has gone.
+  /// @brief Sends a complete response. Does nothing if the client has
+  /// disconnected.
   virtual void Respond(int status,
                        const HttpHeaders& fields,
                        std::string_view body) = 0;
-  /// @brief Begins an answer in parts; Write() and End() or Abort() follow.
+  /// @brief Begins a streamed response; Write() and then End() or Abort()
+  /// follow.
   virtual void Begin(int status, const HttpHeaders& fields) = 0;
   virtual void Write(std::string_view part) = 0;
   virtual void End() = 0;
-  /// @brief Closes the connection; an answer in parts can't look whole then.
+  /// @brief Closes the connection, so that the client sees a streamed response
+  /// as truncated.
   virtual void Abort() = 0;
 
  protected:
@@ -57,32 +61,34 @@
 };
 using RelayExchangePtr = boost::intrusive_ptr<RelayExchange>;
 
-/// @brief HTTP/1.1 towards callers, byte for byte.
+/// @brief HTTP/1.1 server that passes requests on unchanged.
 ///
-/// h2o's own server normalises paths and stops reading while a request is
-/// answered; here the target stays as sent and a close is heard at once. One
-/// request of a connection is answered at a time, in order.
+/// h2o's server normalises paths and doesn't read from a connection while it
+/// handles a request. This one keeps the request target as sent and detects a
+/// disconnect at once. Requests of one connection are handled one at a time, in
+/// order.
 class RelayServer {
  public:
   struct Options {
     std::string address;
     std::uint16_t port = 0;
-    std::function<CallerLimits()> limits;  ///< asked for each request
+    std::function<CallerLimits()> limits;  ///< called for each request
   };
   using Handler = std::function<void(RelayExchangePtr)>;
 
-  /// @throws std::runtime_error if the address can't be used
+  /// @throws std::runtime_error if the address can't be bound
   RelayServer(EventLoop& loop, Options options, Handler handler);
   ~RelayServer();
 
   std::uint16_t port() const;
   std::size_t connections() const;
-  /// @brief Requests that are being read or answered.
+  /// @brief Number of requests that are being read or handled.
   std::size_t active_requests() const;
 
-  /// @brief Every answer from now on ends its connection.
+  /// @brief Sends `Connection: close` with every response from now on, and
+  /// closes the connection after it.
   void AnnounceClose();
-  /// @brief Takes no new connection and closes those that are idle.
+  /// @brief Stops accepting connections and closes idle ones.
   void StopAccepting();
 
  private:
--- a/packages/loop/include/gentianroute/loop/rpc.h
+++ b/packages/loop/include/gentianroute/loop/rpc.h
@@ -13,12 +13,12 @@
 
 namespace gentianroute {
 
-/// @brief Serves one Cap'n Proto capability to every connection.
+/// @brief Serves one Cap'n Proto bootstrap capability to every connection.
 ///
-/// Destroy it while the loop is alive.
+/// Must be destroyed before the event loop.
 class RpcServer {
  public:
-  /// @throws std::runtime_error if the address can't be used
+  /// @throws std::runtime_error if the address can't be bound
   RpcServer(EventLoop& loop,
             std::string_view address,
             std::uint16_t port,
@@ -32,12 +32,12 @@
   std::unique_ptr<Impl> impl_;
 };
 
-/// @brief One connection to another daemon's RpcServer.
+/// @brief One connection to the RpcServer of another process.
 ///
-/// It does not come back by itself: when it is broken, make a new one.
+/// It does not reconnect; create a new one after it has broken.
 class RpcConnection {
  public:
-  /// @param on_broken called at most once, from the loop
+  /// @param on_broken called at most once, from the event loop
   RpcConnection(EventLoop& loop,
                 std::string_view address,
                 std::uint16_t port,
@@ -45,10 +45,10 @@
   ~RpcConnection();
 
   bool connected() const;
-  /// @brief Whether it was ever connected.
+  /// @brief Whether the connection was ever established.
   bool was_connected() const;
-  /// @brief The far end's capability. Calls on it wait for the connection while
-  /// that is being made, and fail once it is broken.
+  /// @brief The server's bootstrap capability. Calls made while connecting are
+  /// queued; calls on a broken connection fail.
   capnp::Capability::Client bootstrap();
 
  private:
--- a/packages/loop/include/gentianroute/loop/socket_options.h
+++ b/packages/loop/include/gentianroute/loop/socket_options.h
@@ -3,11 +3,11 @@
 
 namespace gentianroute {
 
-/// @brief Ends a TCP connection that has gone silent without a reset.
+/// @brief Makes the kernel close a TCP connection whose peer stops responding.
 ///
-/// Something between two ends can lose track of a connection: what is sent on
-/// it then waits for ever, while new connections work. Unacknowledged bytes and
-/// unanswered probes end it instead, within a few seconds.
+/// A middlebox can lose the state of a connection without resetting it: data
+/// sent on it is then never acknowledged, while new connections work. With a
+/// user timeout and keepalive probes the connection fails within a few seconds.
 void EnableDeadPeerDetection(int descriptor);
 
 }  // namespace gentianroute
--- a/packages/loop/include/gentianroute/loop/stream_socket.h
+++ b/packages/loop/include/gentianroute/loop/stream_socket.h
@@ -12,33 +12,34 @@
 
 namespace gentianroute {
 
-/// @brief How the far end of a connection ended it.
+/// @brief How a connection ended.
 enum class StreamEnd : std::uint8_t {
-  kClosed,  ///< in order; everything that it sent has arrived
-  kBroken,  ///< reset, timed out, or never connected
+  kClosed,  ///< orderly close by the peer; all its data has been received
+  kBroken,  ///< reset, timed out, or not established
 };
 
-/// @brief One TCP connection that reads for as long as it is open.
+/// @brief A TCP connection that is read for as long as it is open.
 ///
-/// Reading never stops while an answer is being made, so that a caller's close
-/// is noticed at once and its work can be cancelled.
+/// Reading continues while a request is being handled, so that a disconnect is
+/// detected at once and the request can be cancelled.
 class StreamSocket {
  public:
-  /// @brief Hears of a connection; may destroy it in any of its functions.
+  /// @brief Receives the events of a connection. Any of its functions may
+  /// destroy the StreamSocket.
   class Observer {
    public:
     virtual ~Observer() = default;
     virtual void OnConnected() {}
     virtual void OnData(std::string_view data) = 0;
-    /// @brief All that was written has gone to the kernel.
+    /// @brief Called when the kernel has accepted all written data.
     virtual void OnDrained() {}
-    /// @brief The last that is heard.
+    /// @brief Called last.
     virtual void OnEnd(StreamEnd end) = 0;
   };
 
-  /// @brief Takes over an accepted connection.
+  /// @brief Takes ownership of an accepted connection.
   StreamSocket(st_h2o_socket_t* accepted, Observer& observer);
-  /// @brief Connects; what is written meanwhile waits for it.
+  /// @brief Connects; data written before that is queued.
   StreamSocket(EventLoop& loop,
                std::string_view address,
                std::uint16_t port,
@@ -48,9 +49,9 @@
   StreamSocket& operator=(const StreamSocket&) = delete;
 
   void Write(std::string_view data);
-  /// @brief Ends this direction; the far end's is still read.
+  /// @brief Closes the write side; the peer's data is still read.
   void ShutdownWrite();
-  /// @brief Bytes that the kernel has not taken yet.
+  /// @brief Number of written bytes that the kernel has not accepted yet.
   std::size_t unsent_bytes() const {
     return queued_.size() + in_flight_.size();
   }
@@ -69,7 +70,8 @@
   bool writing_ = false;
   std::string queued_;
   std::string in_flight_;
-  /// Set by the destructor, so that a callback knows that it has run.
+  /// Points to a flag of the running callback, which the destructor sets, so
+  /// that the callback stops using this object. Null outside of callbacks.
   bool* destroyed_ = nullptr;
 };
 
--- a/packages/loop/src/datagram_socket.cc
+++ b/packages/loop/src/datagram_socket.cc
@@ -34,9 +34,9 @@
                     sizeof(*local)) == 0;
   if (!bound) {
     const std::string reason =
-        local ? std::strerror(errno) : "that is not an IP number";
+        local ? std::strerror(errno) : "not an IPv4 address";
     close(descriptor_);
-    throw std::runtime_error("can't receive datagrams on " +
+    throw std::runtime_error("cannot receive datagrams on " +
                              std::string(address) + ":" + std::to_string(port) +
                              ": " + reason);
   }
--- a/packages/loop/src/event_loop.cc
+++ b/packages/loop/src/event_loop.cc
@@ -53,14 +53,14 @@
     h2o_evloop_run(loop_.h2o_, max_wait_ms);
     loop_.RunDueTimers();
   }
-  /// Calls back for the writes that timers and promises have made since.
+  /// Runs the pending callbacks of writes made by timers and promises.
   ///
-  /// h2o frees closed sockets first in each round, and expects that none of
-  /// them waits for such a call, as all its own callbacks run within a round. A
-  /// timer that wrote to a socket and closed it left a freed one in that list:
-  /// when its memory was used again the loop went round for ever, or it
-  /// crashed. With the list empty before each round nothing freed is left in
-  /// it.
+  /// h2o frees closed sockets at the start of each loop iteration and assumes
+  /// that none of them has a pending write callback, since its own callbacks
+  /// all run within an iteration. A timer that writes to a socket and closes it
+  /// would leave a dangling pointer in the list of pending callbacks, which
+  /// causes an infinite loop or a crash once the memory is reused. Emptying the
+  /// list before each iteration prevents that.
   void RunWriteCallbacks() { h2o_timeout__do_post_callback(loop_.h2o_); }
 
   EventLoop& loop_;
@@ -111,7 +111,7 @@
   const std::string host(address);
   auto target = ParseIpv4Address(address, port);
   if (!target) {
-    throw std::runtime_error("'" + host + "' is not an IP number");
+    throw std::runtime_error("'" + host + "' is not an IPv4 address");
   }
   const int fd = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
   const int on = 1;
@@ -123,7 +123,7 @@
   if (!ready) {
     const std::string reason = std::strerror(errno);
     close(fd);
-    throw std::runtime_error("can't listen on " + host + ":" +
+    throw std::runtime_error("cannot listen on " + host + ":" +
                              std::to_string(port) + ": " + reason);
   }
   return fd;
@@ -209,9 +209,10 @@
 }
 
 std::int32_t EventLoop::MaxWaitMilliseconds() const {
-  // A write that completes at once from a timer or a promise leaves its
-  // callback pending, and h2o polls before it runs what is pending: without
-  // this the end of an answer waited for the next event, up to a second.
+  // A write from a timer or a promise that completes at once leaves its
+  // callback pending, and h2o polls before it runs pending callbacks. Without
+  // this check the end of a response would wait for the next event, up to
+  // kMaxWaitMilliseconds.
   const bool pending = h2o_->_pending_as_client != nullptr ||
                        h2o_->_pending_as_server != nullptr;
   if (pending) {
@@ -247,7 +248,8 @@
   const int fd = signalfd(-1, &set, SFD_NONBLOCK | SFD_CLOEXEC);
   h2o_socket_t* socket =
       h2o_evloop_socket_create(h2o_, fd, H2O_SOCKET_FLAG_DONT_READ);
-  // Lives as long as the process: signals are watched once, at the start.
+  // Never freed: signal callbacks are registered once, at startup, and stay for
+  // the lifetime of the process.
   socket->data = new SignalWatch{std::move(callback)};
   h2o_socket_read_start(socket, &OnSignalReadable);
 }
--- a/packages/loop/src/h2o_http_client.cc
+++ b/packages/loop/src/h2o_http_client.cc
@@ -43,8 +43,8 @@
   return copy;
 }
 
-/// Without a length or chunks the end of the body is the end of the
-/// connection, which a truncated looks just like.
+/// Whether the body has a length or is chunked. Otherwise the close of the
+/// connection ends it, so that truncation can't be detected.
 bool HasFraming(const HttpHeaders& headers) {
   return !FindHeader(headers, "content-length").empty() ||
          FindHeader(headers, "transfer-encoding") == "chunked";
@@ -101,8 +101,8 @@
     Exchange& exchange = *found->second;
     exchange.cancelled = true;
     if (exchange.in_callback) {
-      // The observer's own method is running, so it is destroyed only once
-      // that has returned; it hears nothing more.
+      // The observer's method is still running. The caller of that method
+      // destroys the observer when it returns.
       return;
     }
     h2o_http1client_t* client = exchange.client;
@@ -117,8 +117,8 @@
     if (found == pools_.end()) {
       return;
     }
-    // Connections in use still point at the pool, so it can't be freed yet;
-    // its idle ones age out, and no new call takes one of them.
+    // Connections in use still refer to the pool, so it can't be freed yet. Its
+    // idle connections time out, and new calls use another pool.
     discarded_pools_.push_back(std::move(found->second));
     pools_.erase(found);
   }
@@ -142,8 +142,8 @@
     bool cancelled = false;
   };
 
-  /// Hosts are replaced at any time: without this the pools of all that there
-  /// ever were would stay, each with a timer of its own.
+  /// Frees pools without connections. Hosts are replaced at any time, so pools
+  /// of former hosts would accumulate, each with its own timer.
   void DropUnusedPools() {
     const auto unused = [](const std::unique_ptr<Pool>& pool) {
       return pool->pool._shared.count == 0;
@@ -169,7 +169,7 @@
     return &pool->pool;
   }
 
-  /// Ends the exchange from inside a callback of h2o, which closes the client.
+  /// Destroys the exchange within an h2o callback; h2o then closes the client.
   static void Erase(Exchange& exchange) {
     Impl* owner = exchange.owner;
     owner->calls_.erase(exchange.id);
@@ -268,16 +268,18 @@
     if (!ended) {
       return 0;
     }
-    // h2o takes a connection that closes between two chunks for the end of the
-    // body, so a truncated answer would pass as a whole one. Its last chunk
-    // always comes with bytes; an end without any is the close.
+    // h2o reports a connection that closes between two chunks as the end of the
+    // body, so a truncated response would look complete. The last chunk always
+    // arrives with bytes; an end without bytes is a close.
     const bool truncated = exchange.chunked && client->sock->bytes_read == 0;
     if (truncated) {
-      Fail(exchange, HttpCallError::kTruncated, "closed before the last chunk");
+      Fail(exchange, HttpCallError::kTruncated,
+           "connection closed before the last chunk");
     } else if (exchange.framed) {
       Complete(exchange);
     } else {
-      Fail(exchange, HttpCallError::kTruncated, "the answer has no framing");
+      Fail(exchange, HttpCallError::kTruncated,
+           "response has neither a content length nor chunked coding");
     }
     return 0;
   }
--- a/packages/loop/src/http_server.cc
+++ b/packages/loop/src/http_server.cc
@@ -26,8 +26,8 @@
                         name.len, 1, nullptr, value.base, value.len);
 }
 
-/// Answers through h2o. h2o owns the request and frees it with its pool; the
-/// holder in that pool tells this object that the request is on_disconnect.
+/// Sends responses through h2o. h2o owns the request and frees it with its
+/// memory pool; a ResponderHolder in that pool detaches this object first.
 class H2oResponder final : public HttpResponder {
  public:
   H2oResponder(h2o_req_t* request, const bool& closing, bool close_after)
@@ -83,7 +83,8 @@
     on_disconnect_ = std::move(callback);
   }
 
-  /// Whether the answer to this request comes from a responder.
+  /// Whether an H2oResponder generates the response to this request, and not
+  /// h2o itself.
   static bool HasResponder(const h2o_req_t& request) {
     return request._generator != nullptr &&
            request._generator->proceed == &H2oResponder::OnProceed;
@@ -111,7 +112,7 @@
     self->SendPending();
   }
   static void OnStop(h2o_generator_t* generator, h2o_req_t* /*request*/) {
-    // The request is disposed of next; until then nothing may be sent.
+    // h2o disposes of the request next, so nothing may be sent any more.
     reinterpret_cast<Generator*>(generator)->self->request_ = nullptr;
   }
 
@@ -148,7 +149,7 @@
 
   Generator generator_{};
   h2o_req_t* request_;
-  const bool& closing_;  ///< of the server, as it is when the answer begins
+  const bool& closing_;  ///< the server's flag, read when a response begins
   bool close_after_;
   bool started_ = false;
   bool ended_ = false;
@@ -191,7 +192,7 @@
   return copy;
 }
 
-/// Puts another body in place of the one that h2o sends.
+/// Output filter that replaces the body of an error response from h2o.
 struct BodyReplacer {
   h2o_ostream_t super;
   h2o_iovec_t body;
@@ -218,10 +219,11 @@
     const char* reason = ERR_reason_error_string(ERR_get_error());
     SSL_CTX_free(context);
     throw std::runtime_error(
-        "can't use certificate '" + options.certificate_file + "' with key '" +
+        "cannot use certificate '" + options.certificate_file + "' with key '" +
         options.key_file + "': " + (reason == nullptr ? "" : reason));
   }
-  // h2o's own list lacks http/1.1, which some clients insist on being chosen.
+  // h2o's own list lacks http/1.1, and some clients require that ALPN selects
+  // a protocol.
   static const h2o_iovec_t kProtocols[] = {{const_cast<char*>("h2"), 2},
                                            {const_cast<char*>("http/1.1"), 8},
                                            {nullptr, 0}};
@@ -246,8 +248,8 @@
     entry->super.on_req = &Impl::OnRequest;
     entry->self = this;
     if (options_.make_error_response) {
-      // The body is refused before a path is chosen, so the filter stands on
-      // the host's own configuration too.
+      // h2o rejects an oversized body before it selects a path, so the fallback
+      // path needs the filter too.
       AddFilter(&host->fallback_path);
       AddFilter(path);
     }
@@ -326,8 +328,8 @@
     return 0;
   }
 
-  /// Connections over the limit are taken as far as an answer needs, so that
-  /// their callers hear why; beyond a margin they are closed at once.
+  /// Accepts up to kMaxRejectedConnections connections over the limit, so that
+  /// their clients receive an error response, and closes further ones at once.
   void Accept(h2o_socket_t* socket) {
     constexpr std::size_t kMaxRejectedConnections = 64;
     if (connections_ >= options_.max_connections + kMaxRejectedConnections) {
--- a/packages/loop/src/message_parser.cc
+++ b/packages/loop/src/message_parser.cc
@@ -1,4 +1,4 @@
-// Before any header of Boost: see boost::assertion_failed() below.
+// Must precede all Boost headers; see boost::assertion_failed() below.
 #define BOOST_ENABLE_ASSERT_HANDLER
 
 #include "gentianroute/loop/message_parser.h"
@@ -15,15 +15,15 @@
 
 namespace {
 
-/// Bytes on which the parser's own assumptions fail.
+/// Thrown when an assertion in Beast's parser fails.
 struct ParserAssertionFailure : std::exception {};
 
 }  // namespace
 
-// A last chunk of which less than five bytes have come breaks an assertion of
-// Beast's parser when it is looked at again. Where assertions are on, that
-// would end the daemon with every request on it. Here it ends the parser's
-// step.
+// Parsing a last chunk of which fewer than five bytes have arrived a second
+// time fails an assertion in Beast's parser. In builds with assertions that
+// would terminate the process and all its requests. These handlers throw
+// instead, and the parser catches the exception.
 namespace boost {
 void assertion_failed(const char* /*expression*/,
                       const char* /*function*/,
@@ -46,7 +46,7 @@
 namespace beast = boost::beast;
 namespace http = boost::beast::http;
 
-/// Beast's incremental parser, collecting what it finds.
+/// Beast's incremental parser, which stores the parsed head and body.
 template <bool IsRequest>
 class Collector final : public http::basic_parser<IsRequest> {
  public:
@@ -89,8 +89,9 @@
   }
   void on_header_impl(Error& error) override {
     head_.keep_alive = this->keep_alive();
-    // A coding other than chunked leaves the end of the body open to
-    // interpretation: the next hop could see another request inside it.
+    // With a final coding other than chunked the end of a request body is
+    // ambiguous: the next hop could find another request in it (request
+    // smuggling).
     if (IsRequest && has_transfer_coding_ && !this->chunked()) {
       error = http::error::bad_transfer_encoding;
     }
@@ -223,10 +224,9 @@
         }
       }
     } catch (const ParserAssertionFailure&) {
-      // A last chunk that is not whole yet is no fault of its sender. The
-      // parser looks at it again only as the first thing of a step, so nothing
-      // has been consumed of these bytes, and they are read again with the
-      // rest.
+      // An incomplete last chunk is not an error. The assertion fails only at
+      // the start of a put(), which has then consumed none of these bytes, so
+      // they are parsed again together with the rest.
       constexpr std::size_t kLastChunkBytes = 5;
       if (input_.size() - consumed >= kLastChunkBytes) {
         failure_ = Event::kMalformed;
@@ -238,8 +238,9 @@
     }
   }
 
-  /// Two hops that go by different ones would send the request to different
-  /// services, with the checks of the other one's route.
+  /// Requests with several Host fields are rejected: two hops that use
+  /// different ones would route the request to different services and so bypass
+  /// the checks of one route.
   bool HasMultipleHostFields() {
     if (kind_ != Kind::kRequest) {
       return false;
--- a/packages/loop/src/message_text.cc
+++ b/packages/loop/src/message_text.cc
@@ -13,8 +13,8 @@
 
 constexpr std::string_view kLineEnd = "\r\n";
 
-/// Fields that RFC 9110 ties to one connection, and those that tell a body's
-/// framing, which each connection sets anew.
+/// Fields that RFC 9110 defines as hop-by-hop, and those that describe the
+/// framing of the body, which each hop sets itself.
 constexpr std::array<std::string_view, 10> kHopByHopFields = {
     "connection",          "keep-alive", "proxy-connection", "te",
     "transfer-encoding",   "trailer",    "upgrade",          "content-length",
--- a/packages/loop/src/relay_client.cc
+++ b/packages/loop/src/relay_client.cc
@@ -13,17 +13,20 @@
 namespace gentianroute {
 namespace {
 
-/// A silent far end must not hold a new connection for long: a working one
-/// stands within one round trip, at most 80 ms between regions.
+/// Limits the wait for an unreachable server. A reachable one accepts within
+/// one round trip, at most 80 ms between regions.
 constexpr Duration kConnectTimeout = std::chrono::milliseconds(900);
-/// Idle connections are closed after this, well before servers do.
+/// Idle connections are closed after this time, well before servers close them.
 constexpr Duration kMaxIdle = std::chrono::seconds(10);
-/// Kept from a server's own stated idle time: its close must not cross a call.
+/// Subtracted from a server's keep-alive timeout, so that the server doesn't
+/// close a connection while a request is on its way.
 constexpr Duration kKeepAliveMargin = std::chrono::milliseconds(700);
 constexpr Duration kSweepPeriod = std::chrono::seconds(1);
 constexpr int kFirstFinalStatus = 200;
 
-/// The time that a server keeps an idle connection, if its answer says so.
+/// How long a connection may be reused after a response, from the `timeout`
+/// parameter of its `Keep-Alive` field.
+/// @return kMaxIdle if the response has no such parameter
 Duration KeepAliveTimeout(const HttpHeaders& fields) {
   const std::string* keep_alive = FindField(fields, "keep-alive");
   constexpr std::string_view kParameter = "timeout=";
@@ -84,7 +87,7 @@
       return idle() && now - idle_since_ < std::min(limit, idle_limit_);
     }
 
-    /// Leaves the client; nothing more is heard.
+    /// Closes the connection without notifying the observer of a call.
     void Close() {
       if (std::exchange(closed_, true)) {
         return;
@@ -98,7 +101,7 @@
     void OnConnected() override { client_.loop_.Cancel(timer_); }
     void OnData(std::string_view data) override {
       if (idle()) {
-        // Bytes that nobody asked for: whatever follows belongs to no call.
+        // Unsolicited data; a later response could not be assigned to its call.
         Close();
         return;
       }
@@ -176,8 +179,8 @@
       RelayCallObserver* observer = std::exchange(observer_, nullptr);
       client_.EraseCall(std::exchange(id_, {}));
       idle_since_ = client_.loop_.Now();
-      // A body that the server has not read yet, or bytes after the answer:
-      // the next call on this connection would meet them.
+      // An unsent part of the request or input after the response would
+      // interfere with the next call on this connection.
       const bool clean = socket_->unsent_bytes() == 0 && !parser_.started();
       if (!keep_connection_ || !keep_alive_ || !clean ||
           response_has_no_body_) {
@@ -217,7 +220,7 @@
     bool skip_response_ = false;
     bool keep_alive_ = true;
     bool closed_ = false;
-    bool closed_by_server_ = false;  ///< the server has closed in order
+    bool closed_by_server_ = false;  ///< after an orderly close
     TimePoint idle_since_{};
     Duration idle_limit_ = kMaxIdle;
   };
@@ -249,7 +252,7 @@
   Connection& ConnectionFor(const RelayCall& call) {
     const TimePoint now = loop_.Now();
     ConnectionList& list = connections_[call.endpoint];
-    // The one used last first: the others run into their idle limit.
+    // The most recently used first, so that surplus connections expire.
     for (auto at = list.rbegin(); at != list.rend(); ++at) {
       if ((*at)->CanReuse(now, call.max_idle)) {
         return **at;
--- a/packages/loop/src/relay_fetches.cc
+++ b/packages/loop/src/relay_fetches.cc
@@ -28,8 +28,8 @@
   }
 
  private:
-  /// Destroys this, and with it the connection of a call that is given up,
-  /// before anybody hears of the end.
+  /// Destroys this object, which closes the connection of an unfinished call,
+  /// before it calls `done`.
   void Finish() {
     const Done done = std::move(done_);
     RelayFetchResult result = std::move(result_);
--- a/packages/loop/src/relay_server.cc
+++ b/packages/loop/src/relay_server.cc
@@ -16,11 +16,11 @@
 constexpr int kContentTooLarge = 413;
 constexpr int kHeadTooLarge = 431;
 
-/// After the last answer the far end's bytes are read and dropped for this
-/// long: closing with unread bytes resets the connection, and the reset can
-/// overtake the answer. A round trip is far below it.
+/// How long input is read and discarded after the last response of a
+/// connection. Closing a socket with unread input resets the connection, and
+/// the reset can overtake the response. Much longer than a round trip.
 constexpr Duration kLingerTimeout = std::chrono::seconds(1);
-/// A caller that does not read its stream must not fill the host's memory.
+/// Limits the memory used for a client that doesn't read its response.
 constexpr std::size_t kMaxUnsentBytes = 8 * 1024 * 1024;
 
 }  // namespace
@@ -94,8 +94,8 @@
       socket_.reset();
       if (exchange_ != nullptr) {
         exchange_->Detach();
-        auto gone = std::exchange(exchange_, nullptr);
-        gone->NotifyDisconnect();
+        auto exchange = std::exchange(exchange_, nullptr);
+        exchange->NotifyDisconnect();
       }
       server_.Remove(*this);
     }
@@ -127,7 +127,8 @@
       FinishResponse(close);
     }
     void SendHead(int status, const HttpHeaders& fields) {
-      // A caller of HTTP/1.0 can't read chunks; for it the close ends the body.
+      // HTTP/1.0 has no chunked coding, so the end of the connection ends the
+      // body.
       chunked_ = !exchange_->head().version_1_0;
       close_after_ = ShouldClose() || !chunked_;
       socket_->Write(SerialiseResponseHead(
@@ -156,7 +157,8 @@
              !exchange_->head().keep_alive;
     }
 
-    /// Reads as far as the present request; what follows it waits.
+    /// Parses input up to the end of the current request; pipelined requests
+    /// stay buffered.
     void ProcessInput() {
       while (!closed_ && !lingering_ && exchange_ == nullptr) {
         if (!request_started_ && parser_.started()) {
@@ -210,12 +212,14 @@
       server_.loop_.Cancel(timer_);
       exchange_ = std::move(incoming_);
       request_started_ = false;
-      // The handler may answer at once and so end this connection.
+      // Keeps the exchange alive if the handler responds at once and so closes
+      // this connection.
       const RelayExchangePtr exchange = exchange_;
       server_.handler_(exchange);
     }
 
-    /// What was read is no request: nothing after it can be trusted.
+    /// Sends an error and closes, since the end of an invalid request is
+    /// unknown.
     void Reject(int status) {
       incoming_ = nullptr;
       SendResponse(status, {}, "");
@@ -254,8 +258,8 @@
     }
     void OnLingerTimeout() {
       if (socket_->unsent_bytes() > 0) {
-        // A slow reader still takes its answer; the link's own time limit ends
-        // one that takes nothing.
+        // A slow client may still receive its response. The TCP user timeout
+        // closes the connection of a client that receives nothing.
         timer_ =
             server_.loop_.After(kLingerTimeout, [this] { OnLingerTimeout(); });
         return;
@@ -294,7 +298,8 @@
     connections_.push_back(*connection);
   }
 
-  /// A connection may end inside its own functions, so it is deleted later.
+  /// Deletes the connection in the next loop iteration, since one of its
+  /// functions may still be running.
   void Remove(Connection& connection) {
     connections_.erase(connections_.iterator_to(connection));
     if (closed_connections_.empty()) {
--- a/packages/loop/src/rpc.cc
+++ b/packages/loop/src/rpc.cc
@@ -16,8 +16,8 @@
 namespace gentianroute {
 namespace {
 
-/// An h2o socket as KJ wants to see it. One read and one write at a time, as
-/// KJ promises.
+/// Adapts an h2o socket to KJ's stream interface. KJ guarantees at most one
+/// pending read and one pending write.
 class H2oStream final : public kj::AsyncIoStream {
  public:
   explicit H2oStream(h2o_socket_t* socket) : socket_(socket) {
@@ -184,8 +184,8 @@
   impl_->StopAccepting();
 }
 
-/// A host without power answers no connection; its callers turn elsewhere after
-/// this. Ten times the longest way there and back.
+/// Time limit for connecting to a host that is down, after which callers use
+/// another host. Ten times the longest round-trip time.
 constexpr Duration kConnectTimeout = std::chrono::milliseconds(400);
 
 class RpcConnection::Impl final : private kj::TaskSet::ErrorHandler {
@@ -233,9 +233,9 @@
     H2oStream stream;
     capnp::TwoPartyVatNetwork network;
     capnp::RpcSystem<capnp::rpc::twoparty::VatId> rpc;
-    /// Asked for once, while the connection stands. Asking again after its end
-    /// begins another connection on the same network, which throws since that
-    /// is shut down; calls on this one just fail.
+    /// Requested once, on connecting. Requesting it after a disconnect would
+    /// open a new connection on the same VatNetwork, which throws because that
+    /// is shut down. Calls on this capability merely fail then.
     capnp::Capability::Client bootstrap;
 
    private:
@@ -285,9 +285,10 @@
 
   EventLoop& loop_;
   std::function<void()> on_broken_;
-  /// What calls go to until the connection stands. Failing them instead sent
-  /// the first work for each scheduler back to its daemon, which then called
-  /// the servers by itself: at the start, and after each loss of a scheduler.
+  /// Queues calls until the connection is established. If they failed instead,
+  /// the first work for each scheduler would return to its daemon, which would
+  /// then call the servers itself, at startup and after each loss of a
+  /// scheduler.
   kj::PromiseFulfillerPair<capnp::Capability::Client> bootstrap_promise_ =
       kj::newPromiseAndFulfiller<capnp::Capability::Client>();
   capnp::Capability::Client pending_bootstrap_{
--- a/packages/loop/src/socket_options.cc
+++ b/packages/loop/src/socket_options.cc
@@ -7,10 +7,10 @@
 namespace gentianroute {
 namespace {
 
-/// Many times a round trip between regions, and below every time limit of a
-/// call, so that a call on a dead connection still has time for another.
+/// Many times the round-trip time between regions, and shorter than every time
+/// limit of a call, so that a call on a dead connection can still be retried.
 constexpr int kUserTimeoutMilliseconds = 1500;
-/// An idle connection is probed: silent for 1 s, then two probes 1 s apart.
+/// An idle connection is probed after 1 s without traffic, twice, 1 s apart.
 constexpr int kKeepaliveIdleSeconds = 1;
 constexpr int kKeepaliveIntervalSeconds = 1;
 constexpr int kMaxKeepaliveProbes = 2;
--- a/packages/loop/src/stream_socket.cc
+++ b/packages/loop/src/stream_socket.cc
@@ -91,7 +91,7 @@
   self->writing_ = false;
   self->in_flight_.clear();
   if (error != nullptr) {
-    // The read side hears of the same break and ends the connection once.
+    // OnReadable receives the same error and reports the end exactly once.
     self->queued_.clear();
     return;
   }
--- a/packages/loop/tests/event_loop_test.cc
+++ b/packages/loop/tests/event_loop_test.cc
@@ -52,9 +52,9 @@
   cr_assert_eq(runs, 3);
 }
 
-// A process is called to stop, or that its settings have changed, before it has
-// come to watch for that: it must not end by the signal, as if it had failed.
-Test(event_loop, signal_before_it_is_watched_is_told_later) {
+// A signal to stop or to reload the settings may arrive during startup, before
+// its callback is registered. It must not terminate the process.
+Test(event_loop, signal_before_registration_runs_the_callback_later) {
   EventLoop::BlockSignals({SIGHUP});
   raise(SIGHUP);
   EventLoop loop;
--- a/packages/loop/tests/http_test.cc
+++ b/packages/loop/tests/http_test.cc
@@ -23,7 +23,8 @@
 
 namespace {
 
-/// A server and a client on one loop; both outlive its last callback.
+/// A server and a client on one event loop; both are destroyed only after its
+/// last callback has run.
 struct Loopback {
   using Handler =
       std::function<void(HttpRequest, std::shared_ptr<HttpResponder>)>;
@@ -41,13 +42,13 @@
     call.path = path;
     return call;
   }
-  /// Calls, and runs the loop until the end of the call.
+  /// Makes a call and runs the loop until it ends.
   HttpResult Fetch(HttpCall call) {
     HttpResult result;
     const TimerId guard =
         loop.After(std::chrono::seconds(10), [this] { loop.Stop(); });
-    client.Call(std::move(call), CollectResponse([&](HttpResult answer) {
-                  result = std::move(answer);
+    client.Call(std::move(call), CollectResponse([&](HttpResult response) {
+                  result = std::move(response);
                   loop.Stop();
                 }));
     loop.Run();
@@ -65,7 +66,7 @@
   responder->Send({200, {}, std::to_string(request.connection_id)});
 }
 
-/// Sends a request over a blocking socket, and reads until the last chunk.
+/// Sends a request over a blocking socket and reads up to the last chunk.
 std::string ReadWhole(std::uint16_t port) {
   const int fd = socket(AF_INET, SOCK_STREAM, 0);
   const timeval timeout{3, 0};
@@ -87,26 +88,26 @@
   return text;
 }
 
-/// Cancels its own call from inside a callback, then touches its own members.
+/// Cancels its own call within a callback, then accesses its own members.
 class CancellingObserver final : public HttpCallObserver {
  public:
-  CancellingObserver(HttpClient& client, HttpCallId& call, int& heard)
-      : client_(client), call_(call), heard_(heard) {}
+  CancellingObserver(HttpClient& client, HttpCallId& call, int& callbacks)
+      : client_(client), call_(call), callbacks_(callbacks) {}
   void OnHead(int /*status*/, const HttpHeaders& /*headers*/) override {}
   void OnBody(std::string_view part) override {
     client_.Cancel(call_);
     text_ += part;
-    ++heard_;
+    ++callbacks_;
   }
-  void OnDone() override { ++heard_; }
+  void OnDone() override { ++callbacks_; }
   void OnError(HttpCallError /*error*/, std::string_view /*detail*/) override {
-    ++heard_;
+    ++callbacks_;
   }
 
  private:
   HttpClient& client_;
   HttpCallId& call_;
-  int& heard_;
+  int& callbacks_;
   std::string text_;
 };
 
@@ -114,11 +115,11 @@
 
 TestSuite(http);
 
-// The caller saw the end of its answer up to a second late: a write from a
-// timer completes at once and leaves its callback pending in h2o, which polled
-// for the next event before it ran what was pending. The caller is on a thread
-// of its own here, since its events would wake the loop.
-Test(http, answer_written_from_a_timer_ends_before_the_next_event) {
+// A write from a timer completes at once and leaves its callback pending in
+// h2o, which polls for the next event before it runs pending callbacks. The end
+// of the response was therefore sent up to a second late. The client runs on
+// its own thread, since its events on the same loop would hide the delay.
+Test(http, response_written_from_a_timer_ends_before_the_next_event) {
   EventLoop loop;
   HttpServer server(loop, {},
                     [&loop](const HttpRequest&,
@@ -132,7 +133,7 @@
                     });
   std::atomic<bool> ended = false;
   bool ended_in_time = false;
-  std::thread caller([&ended, port = server.port()] {
+  std::thread client_thread([&ended, port = server.port()] {
     ended = ReadWhole(port).ends_with("0\r\n\r\n");
   });
   loop.After(milliseconds(900), [&] {
@@ -140,11 +141,11 @@
     loop.Stop();
   });
   loop.Run();
-  caller.join();
+  client_thread.join();
   cr_assert(ended_in_time);
 }
 
-Test(http, body_cut_by_the_server_is_truncated_not_whole) {
+Test(http, body_aborted_by_the_server_is_truncated_not_complete) {
   EventLoop* loop = nullptr;
   Loopback run([&loop](const HttpRequest&,
                        const std::shared_ptr<HttpResponder>& responder) {
@@ -168,7 +169,7 @@
   cr_assert(result.error == HttpCallError::kReset);
 }
 
-Test(http, nobody_listens_is_a_connect_error_before_any_write) {
+Test(http, refused_connection_is_a_connect_error_before_any_write) {
   Loopback run(&Echo);
   HttpCall call = run.CallTo();
   run.server.StopAccepting();
@@ -177,7 +178,7 @@
   cr_assert(result.error == HttpCallError::kConnect);
 }
 
-Test(http, idle_connection_is_used_again_unless_fresh_or_condemned) {
+Test(http, idle_connection_is_reused_unless_fresh_or_discarded) {
   Loopback run(&Echo);
   const std::string first = run.Fetch(run.CallTo()).body;
   cr_assert_eq(run.Fetch(run.CallTo()).body, first);
@@ -188,9 +189,9 @@
   cr_assert_neq(run.Fetch(run.CallTo()).body, first);
 }
 
-// Pools that hold no connection are dropped, also condemned ones, while one in
-// use stays until its call has ended.
-Test(http, pools_without_connections_are_dropped_and_calls_go_on) {
+// Pools without connections are freed, including discarded ones, but a pool in
+// use must remain until its call has ended.
+Test(http, pools_without_connections_are_freed_and_calls_continue) {
   EventLoop* loop = nullptr;
   H2oHttpClient::Options options;
   options.max_idle = milliseconds(10);
@@ -215,8 +216,8 @@
   cr_assert_neq(last.body, first);
 }
 
-// An attempt is given up because of what its own stream just said: the observer
-// cancels its call from inside OnBody, and must outlive that callback.
+// An observer may cancel its own call within OnBody, because of what it has
+// just received. It must not be destroyed before that callback returns.
 Test(http, cancel_inside_a_callback_ends_the_call_silently) {
   Loopback run(
       [](const HttpRequest&, const std::shared_ptr<HttpResponder>& responder) {
@@ -224,42 +225,43 @@
         responder->Write("part");
       });
   HttpCallId call;
-  int heard = 0;
+  int callbacks = 0;
   call = run.client.Call(run.CallTo(), std::make_unique<CancellingObserver>(
-                                           run.client, call, heard));
+                                           run.client, call, callbacks));
   run.loop.After(milliseconds(100), [&run] { run.loop.Stop(); });
   run.loop.Run();
-  cr_assert_eq(heard, 1);
+  cr_assert_eq(callbacks, 1);
 }
 
-// The caller hangs up while its answer is streamed: the responder hears of it
-// once, and what is written afterwards goes nowhere. (h2o does not read from an
-// HTTP/1.1 connection while a request runs, so only a write can tell.)
-Test(http, caller_gone_in_mid_stream_responder_hears_once) {
-  std::shared_ptr<HttpResponder> kept;
-  int gone = 0;
+// A client disconnects during a streamed response. The responder must be
+// notified once, and later writes are discarded. (h2o doesn't read from an
+// HTTP/1.1 connection while it handles a request, so only a write detects the
+// disconnect.)
+Test(http, client_disconnect_in_mid_stream_notifies_the_responder_once) {
+  std::shared_ptr<HttpResponder> saved_responder;
+  int disconnects = 0;
   Loopback run(
       [&](const HttpRequest&, const std::shared_ptr<HttpResponder>& responder) {
-        kept = responder;
-        responder->SetOnDisconnect([&gone] { ++gone; });
+        saved_responder = responder;
+        responder->SetOnDisconnect([&disconnects] { ++disconnects; });
         responder->Begin(200, {});
       });
-  int heard = 0;
+  int callbacks = 0;
   HttpCallId call;
   call = run.client.Call(run.CallTo(), std::make_unique<CancellingObserver>(
-                                           run.client, call, heard));
+                                           run.client, call, callbacks));
   run.loop.Every(milliseconds(10), [&] {
-    if (kept != nullptr) {
-      kept->Write("token");
+    if (saved_responder != nullptr) {
+      saved_responder->Write("token");
     }
   });
   run.loop.After(milliseconds(300), [&run] { run.loop.Stop(); });
   run.loop.Run();
-  cr_assert_eq(gone, 1);
-  cr_assert_eq(heard, 1);
+  cr_assert_eq(disconnects, 1);
+  cr_assert_eq(callbacks, 1);
 }
 
-Test(http, body_over_the_limit_is_turned_down_with_our_answer) {
+Test(http, body_over_the_limit_is_rejected_with_the_custom_response) {
   int handled = 0;
   HttpServer::Options options;
   options.max_body = 1024;
--- a/packages/loop/tests/message_parser_test.cc
+++ b/packages/loop/tests/message_parser_test.cc
@@ -13,7 +13,7 @@
   MessageParser parser{MessageParser::Kind::kRequest, kLimits};
   std::string body;
 
-  /// Polls until something decisive: the end, an error, or more is needed.
+  /// Polls until the end of the message, an error or kNeedMore.
   Event Read(std::string_view bytes) {
     parser.Feed(bytes);
     while (true) {
@@ -51,10 +51,11 @@
 }
 
 Test(message_parser, body_with_a_length_and_in_chunks) {
-  RequestFixture whole;
-  cr_assert(whole.Read("POST / HTTP/1.1\r\nContent-Length: 3\r\n\r\nabc") ==
-            Event::kEnd);
-  cr_assert(whole.body == "abc");
+  RequestFixture with_length;
+  cr_assert(
+      with_length.Read("POST / HTTP/1.1\r\nContent-Length: 3\r\n\r\nabc") ==
+      Event::kEnd);
+  cr_assert(with_length.body == "abc");
   RequestFixture chunked;
   cr_assert(chunked.Read("POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n"
                          "2\r\nab\r\n1\r\nc\r\n0\r\n\r\n") == Event::kEnd);
@@ -72,9 +73,9 @@
   cr_assert(fixture.body == "hi");
 }
 
-// A caller hides a request inside another one: two hops that read the end of
-// the first body differently would see it as a request of its own.
-Test(message_parser, smuggled_requests_are_refused) {
+// Request smuggling: if two hops disagree on where a body ends, one of them
+// takes the rest of the body for another request.
+Test(message_parser, smuggled_requests_are_malformed) {
   for (const std::string_view fields :
        {"Content-Length: 3\r\nContent-Length: 4\r\n",
         "Content-Length: 3\r\nTransfer-Encoding: chunked\r\n",
@@ -91,7 +92,7 @@
   }
 }
 
-Test(message_parser, what_follows_a_request_waits) {
+Test(message_parser, pipelined_request_stays_buffered) {
   RequestFixture fixture;
   const std::string first = "GET /1 HTTP/1.1\r\nHost: h\r\n\r\n";
   cr_assert(fixture.Read(first + "GET /2 HTTP/1.1\r\nHost: h\r\n\r\n") ==
@@ -102,7 +103,7 @@
   cr_assert(fixture.parser.head().target == "/2");
 }
 
-Test(message_parser, limits_are_told_apart) {
+Test(message_parser, head_and_body_limits_are_distinguished) {
   RequestFixture head;
   cr_assert(head.Read("GET / HTTP/1.1\r\nX: " + std::string(2000, 'x')) ==
             Event::kHeadTooLarge);
@@ -111,14 +112,14 @@
             Event::kBodyTooLarge);
 }
 
-Test(message_parser, answer_without_a_length_ends_with_its_connection) {
+Test(message_parser, response_without_a_length_ends_with_its_connection) {
   ResponseFixture fixture;
   cr_assert(fixture.Read("HTTP/1.1 200 OK\r\n\r\npart") == Event::kNeedMore);
   fixture.parser.FeedEof();
   cr_assert(fixture.parser.Poll() == Event::kEnd);
 }
 
-Test(message_parser, answer_that_is_cut_is_not_whole) {
+Test(message_parser, truncated_response_is_malformed) {
   ResponseFixture fixture;
   cr_assert(fixture.Read("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\npart") ==
             Event::kNeedMore);
@@ -126,24 +127,23 @@
   cr_assert(fixture.parser.Poll() == Event::kMalformed);
 }
 
-Test(message_parser, bytes_after_an_answer_are_seen) {
+Test(message_parser, bytes_after_a_response_are_detected) {
   ResponseFixture fixture;
   fixture.Read("HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nxHTTP/1.1 200");
   fixture.parser.StartNext(kLimits);
   cr_assert(fixture.parser.started());
 }
 
-// A caller's empty body in chunks arrives in two parts, cut before its last
-// byte. That ended the daemon, by an assertion of the parser's library, and
-// with it everybody's requests.
-Test(message_parser, empty_chunked_body_may_be_cut_anywhere) {
+// An empty chunked body that arrives in two parts fails an assertion in Beast's
+// parser, which would terminate the process.
+Test(message_parser, empty_chunked_body_split_anywhere_is_parsed) {
   const std::string text =
       "POST / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n"
       "0\r\n\r\n";
-  for (std::size_t cut = 1; cut < text.size(); ++cut) {
+  for (std::size_t split = 1; split < text.size(); ++split) {
     RequestFixture fixture;
-    cr_assert(fixture.Read(text.substr(0, cut)) == Event::kNeedMore, "%zu",
-              cut);
-    cr_assert(fixture.Read(text.substr(cut)) == Event::kEnd, "%zu", cut);
+    cr_assert(fixture.Read(text.substr(0, split)) == Event::kNeedMore, "%zu",
+              split);
+    cr_assert(fixture.Read(text.substr(split)) == Event::kEnd, "%zu", split);
   }
 }
--- a/packages/loop/tests/relay_fetches_test.cc
+++ b/packages/loop/tests/relay_fetches_test.cc
@@ -13,7 +13,7 @@
 
 namespace {
 
-/// A server that answers as a test says, and one call to it.
+/// A server whose handler is set by the test, and a client for it.
 struct FetchFixture {
   EventLoop loop;
   RelayServer::Handler handler;
@@ -42,7 +42,7 @@
 
 }  // namespace
 
-Test(relay_fetches, whole_answer_is_handed_on) {
+Test(relay_fetches, complete_response_is_delivered) {
   FetchFixture fixture;
   fixture.handler = [](const RelayExchangePtr& exchange) {
     exchange->Respond(200, {}, "all");
@@ -53,7 +53,7 @@
   cr_assert(result->body == "all");
 }
 
-Test(relay_fetches, broken_answer_says_how) {
+Test(relay_fetches, failed_call_reports_its_failure) {
   FetchFixture fixture;
   fixture.handler = [](const RelayExchangePtr& exchange) {
     exchange->Begin(200, {});
@@ -69,9 +69,9 @@
   cr_assert(refused->failure == RelayFailure::kNotSent);
 }
 
-// The far end takes the call and never answers: the caller hears of it once,
-// and the connection is closed, so that the far end can stop its work.
-Test(relay_fetches, silent_server_is_given_up_and_closed) {
+// A server accepts a request and never responds. The caller must be notified
+// once, and the connection closed, so that the server can stop working on it.
+Test(relay_fetches, unresponsive_server_times_out_and_is_disconnected) {
   FetchFixture fixture;
   RelayExchangePtr held;
   bool closed = false;
--- a/packages/loop/tests/rpc_test.cc
+++ b/packages/loop/tests/rpc_test.cc
@@ -13,7 +13,7 @@
 
 namespace {
 
-/// Answers an exchange at once, and a join never.
+/// Responds to exchange() at once and never to join().
 class FakePeer final : public schema::Peer::Server {
  public:
   kj::Promise<void> exchange(ExchangeContext context) override {
@@ -58,14 +58,14 @@
 Test(rpc, call_over_loopback_is_answered) {
   RpcFixture fixture;
   cr_assert(fixture.connection->connected());
-  const auto answer =
+  const auto response =
       fixture.peer().exchangeRequest().send().wait(fixture.loop.wait_scope());
-  cr_assert_eq(answer.getYours().getRevision(), 7);
+  cr_assert_eq(response.getYours().getRevision(), 7);
 }
 
-// The caller of a join waits for a peer that dies: the call must fail, so that
-// the caller is told, and the link must say once that it is broken.
-Test(rpc, peer_gone_during_a_call_fails_it_and_breaks_the_link) {
+// A peer dies while a call to it is pending. The call must fail, and the
+// connection must report once that it is broken.
+Test(rpc, peer_death_during_a_call_fails_it_and_breaks_the_connection) {
   RpcFixture fixture;
   bool failed = false;
   auto call = fixture.peer().joinRequest().send().then(
@@ -80,9 +80,9 @@
   cr_assert_not(fixture.connection->connected());
 }
 
-// A daemon gives a silent link up while a call waits on it: the call ends, and
-// nothing of the link is touched after it is gone.
-Test(rpc, link_destroyed_during_a_call_ends_the_call) {
+// The owner destroys an unresponsive connection while a call on it is pending.
+// The call must end, and nothing may use the connection afterwards.
+Test(rpc, connection_destroyed_during_a_call_ends_the_call) {
   RpcFixture fixture;
   bool ended = false;
   auto call = fixture.peer().joinRequest().send().then(
@@ -94,22 +94,21 @@
   cr_assert(ended);
 }
 
-// The first work for a peer is handed over in the moment in which the link to
-// it is made. It must not come back as failed: the peer lives, and would take
-// it.
+// A call made while the connection to a live peer is being established must be
+// queued and not fail.
 Test(rpc, call_made_while_connecting_is_sent_once_connected) {
   RpcFixture fixture;
   RpcConnection connection(fixture.loop, "127.0.0.1", fixture.server->port(),
                            nullptr);
-  const auto answer = connection.bootstrap()
-                          .castAs<schema::Peer>()
-                          .exchangeRequest()
-                          .send()
-                          .wait(fixture.loop.wait_scope());
-  cr_assert_eq(answer.getYours().getRevision(), 7);
+  const auto response = connection.bootstrap()
+                            .castAs<schema::Peer>()
+                            .exchangeRequest()
+                            .send()
+                            .wait(fixture.loop.wait_scope());
+  cr_assert_eq(response.getYours().getRevision(), 7);
 }
 
-Test(rpc, call_made_while_connecting_fails_with_the_link) {
+Test(rpc, call_made_while_connecting_fails_if_refused) {
   RpcFixture fixture;
   const std::uint16_t port = fixture.server->port();
   fixture.server.reset();
@@ -126,7 +125,7 @@
   cr_assert(failed);
 }
 
-Test(rpc, nobody_listens_breaks_once_and_calls_fail) {
+Test(rpc, refused_connection_breaks_once) {
   RpcFixture fixture;
   const std::uint16_t port = fixture.server->port();
   fixture.server.reset();
@@ -138,10 +137,10 @@
   cr_assert_not(connection.connected());
 }
 
-// A daemon ended by itself: a peer had gone, the call to it had failed, and the
-// next call to it was made before the link said that it was broken. Such a call
-// has to fail like any other; an exception out of a timer ends the process.
-Test(rpc, call_between_a_peers_end_and_the_links_does_not_throw) {
+// After a peer has died and a call to it has failed, another call may be made
+// before the connection reports that it is broken. It must fail like any other:
+// an exception thrown out of a timer would terminate the process.
+Test(rpc, call_after_peer_death_before_break_is_reported_does_not_throw) {
   RpcFixture fixture;
   bool threw = false;
   bool failed_again = false;
--- a/packages/loop/tests/stream_socket_test.cc
+++ b/packages/loop/tests/stream_socket_test.cc
@@ -17,7 +17,7 @@
   void OnEnd(StreamEnd /*end*/) override {}
 };
 
-/// A accepted end that keeps all connections, and some connected ends.
+/// A listener that keeps all accepted connections, and clients connected to it.
 struct SocketsFixture {
   EventLoop loop;
   NullObserver observer;
@@ -42,12 +42,12 @@
 
 }  // namespace
 
-// A timer answers on a connection and closes it at once, as at a time limit in
-// a planned stop; new connections come at the same moment. The daemon stood
-// still with a whole core in use, or crashed: h2o had freed the socket while
-// its write's end was still to be told.
+// A timer writes to a connection and closes it at once, as at the time limit of
+// a graceful shutdown, while new connections arrive. h2o freed the socket
+// before its write callback had run, so the loop spun at full CPU load or
+// crashed.
 Test(stream_socket,
-     write_and_close_in_one_timer_leave_the_loop_whole,
+     write_and_close_in_one_timer_keep_the_loop_running,
      .timeout = 20) {
   constexpr int kRounds = 30;
   constexpr std::size_t kSockets = 10;
