--- a/packages/gateway/tests/start_queue_test.cc
+++ b/packages/gateway/tests/start_queue_test.cc
@@ -22,8 +22,8 @@
   void Abort() override {}
 
   void CallerLeaves() {
-    if (on_gone_) {
-      on_gone_();
+    if (on_disconnect_) {
+      on_disconnect_();
     }
   }
 };
--- a/packages/loop/src/relay_client.cc
+++ b/packages/loop/src/relay_client.cc
@@ -24,8 +24,8 @@
 constexpr Duration kSweepPeriod = std::chrono::seconds(1);
 constexpr int kFirstFinalStatus = 200;
 
-/// How long a connection may be reused after a response, from the `timeout`
-/// parameter of its `Keep-Alive` field.
+/// How long a connection may stay idle after a response before it is no longer
+/// reused: the `timeout` parameter of its `Keep-Alive` field minus a margin.
 /// @return kMaxIdle if the response has no such parameter
 Duration KeepAliveTimeout(const HttpHeaders& fields) {
   const std::string* keep_alive = FindField(fields, "keep-alive");
@@ -217,7 +217,7 @@
     bool response_has_no_body_ = false;
     bool keep_connection_ = true;
     bool head_received_ = false;
-    bool skip_response_ = false;
+    bool skip_response_ = false;  ///< 1xx, or a response to an earlier call
     bool keep_alive_ = true;
     bool closed_ = false;
     bool closed_by_server_ = false;  ///< after an orderly close
--- a/packages/loop/src/relay_server.cc
+++ b/packages/loop/src/relay_server.cc
@@ -212,14 +212,14 @@
       server_.loop_.Cancel(timer_);
       exchange_ = std::move(incoming_);
       request_started_ = false;
-      // Keeps the exchange alive if the handler responds at once and so closes
-      // this connection.
+      // Keeps the exchange alive during the call: the handler may respond at
+      // once, which releases exchange_.
       const RelayExchangePtr exchange = exchange_;
       server_.handler_(exchange);
     }
 
-    /// Sends an error and closes, since the end of an invalid request is
-    /// unknown.
+    /// Sends an error and closes the connection, since it is unknown where the
+    /// next request would begin.
     void Reject(int status) {
       incoming_ = nullptr;
       SendResponse(status, {}, "");
