--- a/standins/backend.cc
+++ b/standins/backend.cc
@@ -223,7 +223,7 @@
   stream->attempt = NumberOf(FindHeader(request.headers, "x-attempt-id"));
   stream->attempt += faults_.crossed ? 1 : 0;
   stream->offset = NumberOf(FindHeader(request.headers, "x-resume-offset"));
-  responder->OnGone([stream] { stream->gone = true; });
+  responder->SetOnDisconnect([stream] { stream->gone = true; });
   HttpHeaders headers = AnswerHeaders(request);
   headers.front().value = "text/event-stream";
   loop_.After(TimeToFirstToken(request),
