--- a/packages/schema/include/gentianroute/schema/checked_json.h
+++ b/packages/schema/include/gentianroute/schema/checked_json.h
@@ -16,7 +16,7 @@
 namespace leaf = boost::leaf;
 
 /// @brief Largest file of settings or profiles, in bytes.
-inline constexpr std::size_t kLargestFile = std::size_t{4} << 20U;
+inline constexpr std::size_t kMaxFileBytes = std::size_t{4} << 20U;
 
 /// @brief Why a file of settings or profiles can't be used.
 struct SchemaError {
--- a/packages/schema/src/checked_json.cc
+++ b/packages/schema/src/checked_json.cc
@@ -17,32 +17,32 @@
 
 using nlohmann::json;
 
-constexpr std::size_t kHexDigestSize = 64;
-constexpr std::size_t kLongestQuote = 60;
+constexpr std::size_t kHexDigestLength = 64;
+constexpr std::size_t kMaxQuotedBytes = 60;
 
 std::string Quote(const json& value) {
   std::string text = value.dump(-1, ' ', false, json::error_handler_t::replace);
-  if (text.size() > kLongestQuote) {
-    text = text.substr(0, kLongestQuote) + "...";
+  if (text.size() > kMaxQuotedBytes) {
+    text = text.substr(0, kMaxQuotedBytes) + "...";
   }
   return text;
 }
 
 /// Walks JSON along the schema; stops at the first error.
-class Checker {
+class SchemaChecker {
  public:
-  explicit Checker(std::string_view file) : file_(file) {}
+  explicit SchemaChecker(std::string_view file) : file_(file) {}
 
-  leaf::result<void> Struct(const json& value,
-                            capnp::StructSchema schema,
-                            const std::string& path) const {
+  leaf::result<void> CheckStruct(const json& value,
+                                 capnp::StructSchema schema,
+                                 const std::string& path) const {
     if (!value.is_object()) {
       return Fail(path, Quote(value), "an object");
     }
     for (const auto& [name, member] : value.items()) {
       const std::string member_path = path.empty() ? name : path + "." + name;
       KJ_IF_MAYBE (field, schema.findFieldByName(name.c_str())) {
-        BOOST_LEAF_CHECK(Field(member, *field, member_path));
+        BOOST_LEAF_CHECK(CheckField(member, *field, member_path));
       } else {
         return Fail(member_path, "an unknown field", FieldNames(schema));
       }
@@ -74,9 +74,9 @@
     return names;
   }
 
-  leaf::result<void> Field(const json& value,
-                           capnp::StructSchema::Field field,
-                           const std::string& path) const {
+  leaf::result<void> CheckField(const json& value,
+                                capnp::StructSchema::Field field,
+                                const std::string& path) const {
     const bool required = HasAnnotation(field, Annotation::kRequired);
     if (required && value.is_string() &&
         value.get_ref<const std::string&>().empty()) {
@@ -85,19 +85,19 @@
     if (required && value.is_array() && value.empty()) {
       return Fail(path, "an empty list", "at least one element");
     }
-    BOOST_LEAF_CHECK(Value(value, field.getType(), RangeOf(field), path));
+    BOOST_LEAF_CHECK(CheckValue(value, field.getType(), RangeOf(field), path));
     if (HasAnnotation(field, Annotation::kHexDigest)) {
-      return HexDigest(value.get<std::string>(), path);
+      return CheckHexDigest(value.get<std::string>(), path);
     }
     if (HasAnnotation(field, Annotation::kIpNumber)) {
-      return IpNumber(value.get<std::string>(), path);
+      return CheckIpv4Address(value.get<std::string>(), path);
     }
     return {};
   }
 
-  leaf::result<void> HexDigest(const std::string& text,
-                               const std::string& path) const {
-    bool valid = text.size() == kHexDigestSize;
+  leaf::result<void> CheckHexDigest(const std::string& text,
+                                    const std::string& path) const {
+    bool valid = text.size() == kHexDigestLength;
     for (const char c : text) {
       // Lower case only, as the daemon writes digests: in upper case it would
       // match no key, and every call with that key would be refused.
@@ -109,43 +109,44 @@
                         "64 hexadecimal digits in lower case");
   }
 
-  leaf::result<void> IpNumber(const std::string& text,
-                              const std::string& path) const {
+  leaf::result<void> CheckIpv4Address(const std::string& text,
+                                      const std::string& path) const {
     in_addr parsed{};
     const bool valid = inet_pton(AF_INET, text.c_str(), &parsed) == 1;
     return valid ? leaf::result<void>()
                  : Fail(path, "'" + text + "'", "an IPv4 number");
   }
 
-  leaf::result<void> Value(const json& value,
-                           capnp::Type type,
-                           NumberRange limits,
-                           const std::string& path) const {
+  leaf::result<void> CheckValue(const json& value,
+                                capnp::Type type,
+                                IntegerRange limits,
+                                const std::string& path) const {
     if (type.isStruct()) {
-      return Struct(value, type.asStruct(), path);
+      return CheckStruct(value, type.asStruct(), path);
     }
     if (type.isList()) {
-      return List(value, type.asList(), path);
+      return CheckList(value, type.asList(), path);
     }
     if (type.isText()) {
-      return Text(value, path);
+      return CheckText(value, path);
     }
     if (type.isBool()) {
       return value.is_boolean() ? leaf::result<void>()
                                 : Fail(path, Quote(value), "true or false");
     }
     if (type.isEnum()) {
-      return Enum(value, type.asEnum(), path);
+      return CheckEnum(value, type.asEnum(), path);
     }
     if (type.isFloat64()) {
       const bool fits = value.is_number() && value >= 0.0 && value <= 1.0;
       return fits ? leaf::result<void>()
                   : Fail(path, Quote(value), "a number from 0 to 1");
     }
-    return Integer(value, limits, path);
+    return CheckInteger(value, limits, path);
   }
 
-  leaf::result<void> Text(const json& value, const std::string& path) const {
+  leaf::result<void> CheckText(const json& value,
+                               const std::string& path) const {
     if (!value.is_string()) {
       return Fail(path, Quote(value), "a text");
     }
@@ -156,22 +157,23 @@
                    : leaf::result<void>();
   }
 
-  leaf::result<void> List(const json& value,
-                          capnp::ListSchema schema,
-                          const std::string& path) const {
+  leaf::result<void> CheckList(const json& value,
+                               capnp::ListSchema schema,
+                               const std::string& path) const {
     if (!value.is_array()) {
       return Fail(path, Quote(value), "a list");
     }
     for (std::size_t i = 0; i < value.size(); ++i) {
-      BOOST_LEAF_CHECK(Value(value[i], schema.getElementType(), NumberRange{},
-                             path + "[" + std::to_string(i) + "]"));
+      BOOST_LEAF_CHECK(CheckValue(value[i], schema.getElementType(),
+                                  IntegerRange{},
+                                  path + "[" + std::to_string(i) + "]"));
     }
     return {};
   }
 
-  leaf::result<void> Enum(const json& value,
-                          capnp::EnumSchema schema,
-                          const std::string& path) const {
+  leaf::result<void> CheckEnum(const json& value,
+                               capnp::EnumSchema schema,
+                               const std::string& path) const {
     for (const auto enumerant : schema.getEnumerants()) {
       const std::string name = enumerant.getProto().getName().cStr();
       if (value.is_string() && value.get<std::string>() == name) {
@@ -181,20 +183,20 @@
     return Fail(path, Quote(value), EnumerantNames(schema));
   }
 
-  leaf::result<void> Integer(const json& value,
-                             NumberRange limits,
-                             const std::string& path) const {
+  leaf::result<void> CheckInteger(const json& value,
+                                  IntegerRange limits,
+                                  const std::string& path) const {
     const std::string allowed = "a whole number from " +
                                 std::to_string(limits.min) + " to " +
                                 std::to_string(limits.max);
     if (!value.is_number_integer()) {
       return Fail(path, Quote(value), allowed);
     }
-    const bool beyond =
+    const bool too_large =
         value.is_number_unsigned() &&
         value.get<std::uint64_t>() > static_cast<std::uint64_t>(limits.max);
     const auto number = value.get<std::int64_t>();
-    if (beyond || number < limits.min || number > limits.max) {
+    if (too_large || number < limits.min || number > limits.max) {
       return Fail(path, Quote(value), allowed);
     }
     return {};
@@ -203,9 +205,9 @@
   std::string file_;
 };
 
-SchemaError TooLarge(std::string_view file) {
+SchemaError FileTooLarge(std::string_view file) {
   return {std::string(file), "", "a larger file",
-          "at most " + std::to_string(kLargestFile) + " bytes"};
+          "at most " + std::to_string(kMaxFileBytes) + " bytes"};
 }
 
 }  // namespace
@@ -218,16 +220,17 @@
 leaf::result<void> DecodeChecked(std::string_view file,
                                  std::string_view text,
                                  capnp::DynamicStruct::Builder output) {
-  if (text.size() > kLargestFile) {
-    return leaf::new_error(TooLarge(file));
+  if (text.size() > kMaxFileBytes) {
+    return leaf::new_error(FileTooLarge(file));
   }
   BOOST_LEAF_CHECK(CheckJsonStructure(file, text));
   const json value = json::parse(text, nullptr, true, /*ignore_comments=*/true);
-  BOOST_LEAF_CHECK(Checker(file).Struct(value, output.getSchema(), ""));
+  BOOST_LEAF_CHECK(
+      SchemaChecker(file).CheckStruct(value, output.getSchema(), ""));
   capnp::JsonCodec codec;
   codec.setRejectUnknownFields(true);
-  const std::string plain = value.dump();
-  codec.decode(kj::arrayPtr(plain.data(), plain.size()), output);
+  const std::string compact = value.dump();
+  codec.decode(kj::arrayPtr(compact.data(), compact.size()), output);
   return {};
 }
 
@@ -235,15 +238,15 @@
   std::ifstream file(path, std::ios::binary);
   // One byte more than allowed tells a file that is too large from one that
   // just fits, without reading all of it.
-  std::string text(kLargestFile + 1, '\0');
+  std::string text(kMaxFileBytes + 1, '\0');
   file.read(text.data(), static_cast<std::streamsize>(text.size()));
   if (file.bad() || file.gcount() == 0) {
     return leaf::new_error(
         SchemaError{path, "", "no readable file", "a file of JSON"});
   }
   text.resize(static_cast<std::size_t>(file.gcount()));
-  if (text.size() > kLargestFile) {
-    return leaf::new_error(TooLarge(path));
+  if (text.size() > kMaxFileBytes) {
+    return leaf::new_error(FileTooLarge(path));
   }
   return text;
 }
--- a/packages/schema/src/constraints.cc
+++ b/packages/schema/src/constraints.cc
@@ -7,7 +7,7 @@
 namespace gentianroute {
 namespace {
 
-std::optional<capnp::schema::Value::Reader> Find(
+std::optional<capnp::schema::Value::Reader> FindAnnotation(
     capnp::StructSchema::Field field,
     Annotation wanted) {
   for (const auto annotation : field.getProto().getAnnotations()) {
@@ -18,7 +18,7 @@
   return std::nullopt;
 }
 
-NumberRange RangeOfType(capnp::Type type) {
+IntegerRange RangeOfType(capnp::Type type) {
   switch (type.which()) {
     case capnp::schema::Type::UINT16:
       return {0, std::numeric_limits<std::uint16_t>::max()};
@@ -35,18 +35,18 @@
 }  // namespace
 
 bool HasAnnotation(capnp::StructSchema::Field field, Annotation annotation) {
-  return Find(field, annotation).has_value();
+  return FindAnnotation(field, annotation).has_value();
 }
 
-std::string AboutOf(capnp::StructSchema::Field field) {
-  const auto about = Find(field, Annotation::kAbout);
-  return about.has_value() ? about->getText().cStr() : "";
+std::string DescriptionOf(capnp::StructSchema::Field field) {
+  const auto description = FindAnnotation(field, Annotation::kAbout);
+  return description.has_value() ? description->getText().cStr() : "";
 }
 
-NumberRange RangeOf(capnp::StructSchema::Field field) {
-  NumberRange range = RangeOfType(field.getType());
-  const auto min = Find(field, Annotation::kMin);
-  const auto max = Find(field, Annotation::kMax);
+IntegerRange RangeOf(capnp::StructSchema::Field field) {
+  IntegerRange range = RangeOfType(field.getType());
+  const auto min = FindAnnotation(field, Annotation::kMin);
+  const auto max = FindAnnotation(field, Annotation::kMax);
   if (min.has_value()) {
     range.min = std::max(range.min, min->getInt64());
   }
--- a/packages/schema/src/constraints.h
+++ b/packages/schema/src/constraints.h
@@ -19,7 +19,7 @@
 };
 
 /// @brief Smallest and largest value of a whole number.
-struct NumberRange {
+struct IntegerRange {
   std::int64_t min = 0;
   std::int64_t max = 0;
 };
@@ -27,10 +27,10 @@
 bool HasAnnotation(capnp::StructSchema::Field field, Annotation annotation);
 
 /// @return the sentence about the field; empty if it has none
-std::string AboutOf(capnp::StructSchema::Field field);
+std::string DescriptionOf(capnp::StructSchema::Field field);
 
 /// @brief The range of the field's type, narrowed by its annotations.
-NumberRange RangeOf(capnp::StructSchema::Field field);
+IntegerRange RangeOf(capnp::StructSchema::Field field);
 
 /// @return `one of:` and the enumerants
 std::string EnumerantNames(capnp::EnumSchema schema);
--- a/packages/schema/src/declarations.cc
+++ b/packages/schema/src/declarations.cc
@@ -9,7 +9,7 @@
 #include <nlohmann/json.hpp>
 #include <utility>
 
-#include "profile_meaning.h"
+#include "profile_semantics.h"
 
 namespace gentianroute {
 namespace {
@@ -21,25 +21,25 @@
     std::to_array<std::string_view>({"profile", "service", "pool"});
 
 template <typename Reader>
-std::string EncodeOne(Reader reader) {
+std::string EncodeDocument(Reader reader) {
   capnp::JsonCodec codec;
   codec.setHasMode(capnp::HasMode::NON_DEFAULT);
   return codec.encode(reader).cStr();
 }
 
 template <typename List>
-leaf::result<void> AddAll(std::string_view file,
-                          std::string_view field,
-                          DocumentKind kind,
-                          List list,
-                          Documents& documents,
-                          Origins& origins) {
+leaf::result<void> AddDocuments(std::string_view file,
+                                std::string_view field,
+                                DocumentKind kind,
+                                List list,
+                                Documents& documents,
+                                Origins& origins) {
   std::size_t index = 0;
   for (const auto item : list) {
     const std::string name = item.getName().cStr();
     const std::string path =
         std::string(field) + "[" + std::to_string(index) + "]";
-    if (!documents.insert({{kind, name}, {EncodeOne(item), 0}}).second) {
+    if (!documents.insert({{kind, name}, {EncodeDocument(item), 0}}).second) {
       return leaf::new_error(SchemaError{std::string(file), path + ".name",
                                          "'" + name + "' a second time",
                                          "a name that stands once"});
@@ -50,7 +50,7 @@
   return {};
 }
 
-StageSpec StageOf(schema::Stage::Reader stage) {
+StageSpec ReadStage(schema::Stage::Reader stage) {
   StageSpec spec;
   spec.name = stage.getName().cStr();
   spec.pool = stage.getPool().cStr();
@@ -66,7 +66,7 @@
   return spec;
 }
 
-std::vector<std::string> TextsOf(capnp::List<capnp::Text>::Reader list) {
+std::vector<std::string> ReadTexts(capnp::List<capnp::Text>::Reader list) {
   std::vector<std::string> texts;
   texts.reserve(list.size());
   for (const auto text : list) {
@@ -75,16 +75,16 @@
   return texts;
 }
 
-EngineGroup GroupOf(schema::EngineGroup::Reader reader) {
+EngineGroup ReadEngineGroup(schema::EngineGroup::Reader reader) {
   EngineGroup group;
   group.state = {reader.getModel().cStr(), reader.getVersion().cStr(),
-                 TextsOf(reader.getAdapters()), reader.getRole().cStr()};
+                 ReadTexts(reader.getAdapters()), reader.getRole().cStr()};
   group.count = reader.getCount();
-  group.servers = TextsOf(reader.getServers());
+  group.servers = ReadTexts(reader.getServers());
   return group;
 }
 
-Profile ProfileOf(schema::Profile::Reader reader, std::uint64_t revision) {
+Profile ReadProfile(schema::Profile::Reader reader, std::uint64_t revision) {
   Profile profile;
   profile.name = reader.getName().cStr();
   profile.revision = revision;
@@ -94,13 +94,14 @@
   profile.deadline = milliseconds(reader.getDeadlineMs());
   profile.cross_region = reader.getCrossRegion();
   for (const auto stage : reader.getStages()) {
-    profile.stages.push_back(StageOf(stage));
+    profile.stages.push_back(ReadStage(stage));
   }
   return profile;
 }
 
 template <typename Schema>
-bool DecodeOne(std::string_view text, capnp::MallocMessageBuilder& message) {
+bool DecodeDocument(std::string_view text,
+                    capnp::MallocMessageBuilder& message) {
   auto root = message.initRoot<Schema>();
   return leaf::try_handle_all(
       [&]() -> leaf::result<bool> {
@@ -110,16 +111,16 @@
       [] { return false; });
 }
 
-using Adder = bool (*)(Catalogue&, const std::string&, const Document&);
+using DocumentAdder = bool (*)(Catalogue&, const std::string&, const Document&);
 
 bool AddProfile(Catalogue& catalogue,
                 const std::string& name,
                 const Document& document) {
   capnp::MallocMessageBuilder message;
-  if (!DecodeOne<schema::Profile>(document.body, message)) {
+  if (!DecodeDocument<schema::Profile>(document.body, message)) {
     return false;
   }
-  catalogue.profiles[name] = std::make_shared<Profile>(ProfileOf(
+  catalogue.profiles[name] = std::make_shared<Profile>(ReadProfile(
       message.getRoot<schema::Profile>().asReader(), document.revision));
   return true;
 }
@@ -128,7 +129,7 @@
                 const std::string& name,
                 const Document& document) {
   capnp::MallocMessageBuilder message;
-  if (!DecodeOne<schema::Service>(document.body, message)) {
+  if (!DecodeDocument<schema::Service>(document.body, message)) {
     return false;
   }
   const auto service = message.getRoot<schema::Service>().asReader();
@@ -140,33 +141,36 @@
              const std::string& name,
              const Document& document) {
   capnp::MallocMessageBuilder message;
-  if (!DecodeOne<schema::Pool>(document.body, message)) {
+  if (!DecodeDocument<schema::Pool>(document.body, message)) {
     return false;
   }
   const auto pool = message.getRoot<schema::Pool>().asReader();
-  const bool engine = pool.getKind() == schema::Pool::Kind::ENGINE;
+  const bool is_engine = pool.getKind() == schema::Pool::Kind::ENGINE;
   PoolSpec& spec = catalogue.pools[name];
-  spec = {name, engine ? PoolKind::kEngine : PoolKind::kService,
+  spec = {name, is_engine ? PoolKind::kEngine : PoolKind::kService,
           pool.getFenced()};
   for (const auto group : pool.getEngines()) {
-    spec.engines.push_back(GroupOf(group));
+    spec.engines.push_back(ReadEngineGroup(group));
   }
   return true;
 }
 
-using Checker = leaf::result<void> (*)(std::string_view, std::string_view);
+using DocumentChecker = leaf::result<void> (*)(std::string_view,
+                                               std::string_view);
 
 template <typename Schema>
-leaf::result<void> CheckOne(std::string_view file, std::string_view text) {
+leaf::result<void> CheckDocumentText(std::string_view file,
+                                     std::string_view text) {
   capnp::MallocMessageBuilder message;
   return DecodeChecked(file, text, message.initRoot<Schema>());
 }
 
-constexpr std::array<Checker, 3> kCheckers = {&CheckOne<schema::Profile>,
-                                              &CheckOne<schema::Service>,
-                                              &CheckOne<schema::Pool>};
+constexpr std::array<DocumentChecker, 3> kDocumentCheckers = {
+    &CheckDocumentText<schema::Profile>, &CheckDocumentText<schema::Service>,
+    &CheckDocumentText<schema::Pool>};
 
-constexpr std::array<Adder, 3> kAdders = {&AddProfile, &AddService, &AddPool};
+constexpr std::array<DocumentAdder, 3> kDocumentAdders = {
+    &AddProfile, &AddService, &AddPool};
 
 /// Where a document stands; by its name, if it stands in no file.
 Origin OriginOf(std::string_view file,
@@ -180,9 +184,9 @@
           std::string(DocumentKindName(name.first)) + "/" + name.second};
 }
 
-leaf::result<void> CheckStages(const Origin& origin,
-                               const Profile& profile,
-                               const Catalogue& catalogue) {
+leaf::result<void> CheckStagePools(const Origin& origin,
+                                   const Profile& profile,
+                                   const Catalogue& catalogue) {
   for (std::size_t i = 0; i < profile.stages.size(); ++i) {
     const StageSpec& stage = profile.stages[i];
     if (!catalogue.pools.contains(stage.pool)) {
@@ -194,9 +198,9 @@
   return {};
 }
 
-leaf::result<void> CheckCatalogue(std::string_view file,
-                                  const Catalogue& catalogue,
-                                  const Origins& origins) {
+leaf::result<void> CheckCatalogueReferences(std::string_view file,
+                                            const Catalogue& catalogue,
+                                            const Origins& origins) {
   for (const auto& [name, profile] : catalogue.profiles) {
     const Origin origin =
         OriginOf(file, {DocumentKind::kProfile, name}, origins);
@@ -204,7 +208,7 @@
       return leaf::new_error(SchemaError{origin.file, origin.path + ".stages",
                                          "no stage", "at least one stage"});
     }
-    BOOST_LEAF_CHECK(CheckStages(origin, *profile, catalogue));
+    BOOST_LEAF_CHECK(CheckStagePools(origin, *profile, catalogue));
   }
   for (const auto& [name, service] : catalogue.services) {
     if (!catalogue.profiles.contains(service.profile)) {
@@ -250,17 +254,18 @@
     std::size_t index = 0;
     for (const json& profile : value["profiles"]) {
       const std::string path = "profiles[" + std::to_string(index++) + "]";
-      BOOST_LEAF_CHECK(CheckProfileMeaning({std::string(file), path}, profile));
+      BOOST_LEAF_CHECK(
+          CheckProfileSemantics({std::string(file), path}, profile));
     }
   }
   const auto declared = root.asReader();
   Documents documents;
-  BOOST_LEAF_CHECK(AddAll(file, "pools", DocumentKind::kPool,
-                          declared.getPools(), documents, origins));
-  BOOST_LEAF_CHECK(AddAll(file, "profiles", DocumentKind::kProfile,
-                          declared.getProfiles(), documents, origins));
-  BOOST_LEAF_CHECK(AddAll(file, "services", DocumentKind::kService,
-                          declared.getServices(), documents, origins));
+  BOOST_LEAF_CHECK(AddDocuments(file, "pools", DocumentKind::kPool,
+                                declared.getPools(), documents, origins));
+  BOOST_LEAF_CHECK(AddDocuments(file, "profiles", DocumentKind::kProfile,
+                                declared.getProfiles(), documents, origins));
+  BOOST_LEAF_CHECK(AddDocuments(file, "services", DocumentKind::kService,
+                                declared.getServices(), documents, origins));
   return documents;
 }
 
@@ -277,13 +282,13 @@
                                          "one that its schema allows"});
     }
   }
-  return CheckCatalogue(file, catalogue, origins);
+  return CheckCatalogueReferences(file, catalogue, origins);
 }
 
 std::string JsonConfigCodec::Check(const Catalogue& catalogue) const {
   return leaf::try_handle_all(
       [&]() -> leaf::result<std::string> {
-        BOOST_LEAF_CHECK(CheckCatalogue("the log", catalogue, {}));
+        BOOST_LEAF_CHECK(CheckCatalogueReferences("the log", catalogue, {}));
         return std::string();
       },
       [](const SchemaError& error) { return error.Text(); },
@@ -294,7 +299,8 @@
                                  std::string_view text) {
   const std::string file =
       std::string(DocumentKindName(name.first)) + "/" + name.second;
-  const Checker checker = kCheckers[static_cast<std::size_t>(name.first)];
+  const DocumentChecker checker =
+      kDocumentCheckers[static_cast<std::size_t>(name.first)];
   BOOST_LEAF_CHECK(checker(file, text));
   const json value = json::parse(text, nullptr, true, true);
   if (value["name"] != name.second) {
@@ -302,7 +308,7 @@
                                        "the document's own name"});
   }
   if (name.first == DocumentKind::kProfile) {
-    return CheckProfileMeaning({file, ""}, value);
+    return CheckProfileSemantics({file, ""}, value);
   }
   return {};
 }
@@ -310,7 +316,8 @@
 bool JsonConfigCodec::AddTo(Catalogue& catalogue,
                             const DocumentName& name,
                             const Document& document) const {
-  const Adder adder = kAdders[static_cast<std::size_t>(name.first)];
+  const DocumentAdder adder =
+      kDocumentAdders[static_cast<std::size_t>(name.first)];
   return adder(catalogue, name.second, document);
 }
 
--- a/packages/schema/src/json_structure.cc
+++ b/packages/schema/src/json_structure.cc
@@ -11,36 +11,40 @@
 
 using nlohmann::json;
 
-constexpr std::size_t kDeepestNesting = 32;
+constexpr std::size_t kMaxNestingDepth = 32;
 
 /// Hears every token of the text; returning false stops the parser.
-class StructureListener final : public json::json_sax_t {
+class StructureHandler final : public json::json_sax_t {
  public:
-  explicit StructureListener(std::string_view file) {
+  explicit StructureHandler(std::string_view file) {
     error_.file = std::string(file);
   }
 
   const SchemaError& error() const { return error_; }
 
-  bool null() override { return Value(); }
-  bool boolean(bool /*value*/) override { return Value(); }
+  bool null() override { return EndValue(); }
+  bool boolean(bool /*value*/) override { return EndValue(); }
   bool number_integer(json::number_integer_t /*value*/) override {
-    return Value();
+    return EndValue();
   }
   bool number_unsigned(json::number_unsigned_t /*value*/) override {
-    return Value();
+    return EndValue();
   }
   bool number_float(json::number_float_t /*value*/,
                     const json::string_t& /*text*/) override {
-    return Value();
+    return EndValue();
   }
-  bool string(json::string_t& /*value*/) override { return Value(); }
-  bool binary(json::binary_t& /*value*/) override { return Value(); }
+  bool string(json::string_t& /*value*/) override { return EndValue(); }
+  bool binary(json::binary_t& /*value*/) override { return EndValue(); }
 
-  bool start_object(std::size_t /*elements*/) override { return Open(false); }
-  bool end_object() override { return Close(); }
-  bool start_array(std::size_t /*elements*/) override { return Open(true); }
-  bool end_array() override { return Close(); }
+  bool start_object(std::size_t /*elements*/) override {
+    return BeginContainer(false);
+  }
+  bool end_object() override { return EndContainer(); }
+  bool start_array(std::size_t /*elements*/) override {
+    return BeginContainer(true);
+  }
+  bool end_array() override { return EndContainer(); }
 
   bool key(json::string_t& value) override {
     Level& level = levels_.back();
@@ -48,7 +52,8 @@
     if (level.keys.insert(value).second) {
       return true;
     }
-    return Fail(Path(), "the key a second time", "each key once in one object");
+    return Fail(CurrentPath(), "the key a second time",
+                "each key once in one object");
   }
 
   bool parse_error(std::size_t /*position*/,
@@ -59,7 +64,7 @@
 
  private:
   struct Level {
-    bool list = false;
+    bool is_array = false;
     std::size_t index = 0;  ///< of the element at hand, in a list
     std::string key;        ///< of the member at hand, in an object
     std::set<std::string> keys;
@@ -72,31 +77,31 @@
     return false;
   }
 
-  bool Value() {
-    if (!levels_.empty() && levels_.back().list) {
+  bool EndValue() {
+    if (!levels_.empty() && levels_.back().is_array) {
       ++levels_.back().index;
     }
     return true;
   }
 
-  bool Open(bool list) {
-    if (levels_.size() == kDeepestNesting) {
-      return Fail(Path(), "a value nested deeper",
-                  "at most " + std::to_string(kDeepestNesting) + " levels");
+  bool BeginContainer(bool is_array) {
+    if (levels_.size() == kMaxNestingDepth) {
+      return Fail(CurrentPath(), "a value nested deeper",
+                  "at most " + std::to_string(kMaxNestingDepth) + " levels");
     }
-    levels_.emplace_back().list = list;
+    levels_.emplace_back().is_array = is_array;
     return true;
   }
 
-  bool Close() {
+  bool EndContainer() {
     levels_.pop_back();
-    return Value();
+    return EndValue();
   }
 
-  std::string Path() const {
+  std::string CurrentPath() const {
     std::string path;
     for (const Level& level : levels_) {
-      if (level.list) {
+      if (level.is_array) {
         path += "[" + std::to_string(level.index) + "]";
       } else {
         path += (path.empty() ? "" : ".") + level.key;
@@ -113,12 +118,11 @@
 
 leaf::result<void> CheckJsonStructure(std::string_view file,
                                       std::string_view text) {
-  StructureListener listener(file);
-  const bool sound =
-      json::sax_parse(text, &listener, json::input_format_t::json,
-                      /*strict=*/true, /*ignore_comments=*/true);
-  if (!sound) {
-    return leaf::new_error(listener.error());
+  StructureHandler handler(file);
+  const bool valid = json::sax_parse(text, &handler, json::input_format_t::json,
+                                     /*strict=*/true, /*ignore_comments=*/true);
+  if (!valid) {
+    return leaf::new_error(handler.error());
   }
   return {};
 }
--- a/packages/schema/src/profile_meaning.h
+++ b/packages/schema/src/profile_semantics.h
@@ -1,5 +1,5 @@
-#ifndef GENTIANROUTE_SCHEMA_PROFILE_MEANING_H_
-#define GENTIANROUTE_SCHEMA_PROFILE_MEANING_H_
+#ifndef GENTIANROUTE_SCHEMA_PROFILE_SEMANTICS_H_
+#define GENTIANROUTE_SCHEMA_PROFILE_SEMANTICS_H_
 
 #include <boost/leaf.hpp>
 #include <nlohmann/json.hpp>
@@ -13,9 +13,9 @@
 /// @return SchemaError for a stage name that stands twice, a stage that must
 /// not repeat with more than one attempt or a hedge stated, or a deadline
 /// shorter than the stages' expected time
-leaf::result<void> CheckProfileMeaning(const Origin& origin,
-                                       const nlohmann::json& profile);
+leaf::result<void> CheckProfileSemantics(const Origin& origin,
+                                         const nlohmann::json& profile);
 
 }  // namespace gentianroute
 
-#endif  // GENTIANROUTE_SCHEMA_PROFILE_MEANING_H_
+#endif  // GENTIANROUTE_SCHEMA_PROFILE_SEMANTICS_H_
--- a/packages/schema/src/reference.cc
+++ b/packages/schema/src/reference.cc
@@ -14,7 +14,7 @@
 namespace gentianroute {
 namespace {
 
-constexpr std::string_view kHeading =
+constexpr std::string_view kTableHeader =
     "| Field | Type | Default | Limits | Meaning |\n"
     "| --- | --- | --- | --- | --- |\n";
 
@@ -50,8 +50,9 @@
     return "none";
   }
   capnp::MallocMessageBuilder message;
-  const auto empty = message.initRoot<capnp::DynamicStruct>(schema).asReader();
-  const std::string text = kj::str(empty.get(field)).cStr();
+  const auto defaults =
+      message.initRoot<capnp::DynamicStruct>(schema).asReader();
+  const std::string text = kj::str(defaults.get(field)).cStr();
   return text == "\"\"" ? "none" : "`" + text + "`";
 }
 
@@ -72,42 +73,43 @@
   if (type.isText() || type.isBool() || IsCompound(type)) {
     return "";
   }
-  const NumberRange range = RangeOf(field);
+  const IntegerRange range = RangeOf(field);
   return std::to_string(range.min) + " to " + std::to_string(range.max);
 }
 
-void AddFields(capnp::StructSchema schema,
-               const std::string& prefix,
-               std::string& output) {
+void AppendFieldRows(capnp::StructSchema schema,
+                     const std::string& prefix,
+                     std::string& output) {
   for (const auto field : schema.getFields()) {
     const std::string path = prefix + field.getProto().getName().cStr();
     output += "| `" + path + "` | " + TypeName(field.getType()) + " | " +
               DefaultOf(schema, field) + " | " + LimitsOf(field) + " | " +
-              AboutOf(field) + " |\n";
+              DescriptionOf(field) + " |\n";
     const capnp::Type type = field.getType();
     if (type.isStruct()) {
-      AddFields(type.asStruct(), path + ".", output);
+      AppendFieldRows(type.asStruct(), path + ".", output);
     } else if (type.isList() && type.asList().getElementType().isStruct()) {
-      AddFields(type.asList().getStructElementType(), path + "[].", output);
+      AppendFieldRows(type.asList().getStructElementType(), path + "[].",
+                      output);
     }
   }
 }
 
 template <typename Root>
-std::string Table() {
-  std::string output(kHeading);
-  AddFields(capnp::Schema::from<Root>(), "", output);
+std::string FieldTable() {
+  std::string output(kTableHeader);
+  AppendFieldRows(capnp::Schema::from<Root>(), "", output);
   return output;
 }
 
 }  // namespace
 
 std::string SettingsReference() {
-  return Table<schema::Settings>();
+  return FieldTable<schema::Settings>();
 }
 
 std::string ProfilesReference() {
-  return Table<schema::Declarations>();
+  return FieldTable<schema::Declarations>();
 }
 
 std::string ErrorsReference() {
--- a/packages/schema/src/settings.cc
+++ b/packages/schema/src/settings.cc
@@ -8,9 +8,8 @@
 namespace gentianroute {
 namespace {
 
-leaf::result<void> CheckOrganisationsAreUnique(
-    std::string_view file,
-    schema::Settings::Reader settings) {
+leaf::result<void> CheckUniqueOrganisations(std::string_view file,
+                                            schema::Settings::Reader settings) {
   std::set<std::string> seen;
   std::size_t index = 0;
   for (const auto organisation : settings.getOrganisations()) {
@@ -36,14 +35,14 @@
     return {};
   }
   const std::string missing = certificate ? "keyFile" : "certificateFile";
-  const std::string named = certificate ? "certificateFile" : "keyFile";
+  const std::string present = certificate ? "certificateFile" : "keyFile";
   return leaf::new_error(SchemaError{std::string(file), path + "." + missing,
                                      "nothing",
-                                     "a file, since " + named + " is named"});
+                                     "a file, since " + present + " is named"});
 }
 
-leaf::result<void> CheckKeysAreUnique(std::string_view file,
-                                      schema::Settings::Reader settings) {
+leaf::result<void> CheckUniqueKeys(std::string_view file,
+                                   schema::Settings::Reader settings) {
   std::set<std::string> seen;
   std::size_t organisation_index = 0;
   for (const auto organisation : settings.getOrganisations()) {
@@ -70,12 +69,12 @@
   Settings settings;
   auto root = settings.message_->initRoot<schema::Settings>();
   BOOST_LEAF_CHECK(DecodeChecked(file, text, root));
-  const auto read = settings.get();
-  BOOST_LEAF_CHECK(CheckOrganisationsAreUnique(file, read));
-  BOOST_LEAF_CHECK(CheckKeysAreUnique(file, read));
-  BOOST_LEAF_CHECK(CheckTlsFiles(file, "callers", read.getCallers()));
-  BOOST_LEAF_CHECK(CheckTlsFiles(file, "operators", read.getOperators()));
-  BOOST_LEAF_CHECK(CheckTlsFiles(file, "peers", read.getPeers()));
+  const auto reader = settings.get();
+  BOOST_LEAF_CHECK(CheckUniqueOrganisations(file, reader));
+  BOOST_LEAF_CHECK(CheckUniqueKeys(file, reader));
+  BOOST_LEAF_CHECK(CheckTlsFiles(file, "callers", reader.getCallers()));
+  BOOST_LEAF_CHECK(CheckTlsFiles(file, "operators", reader.getOperators()));
+  BOOST_LEAF_CHECK(CheckTlsFiles(file, "peers", reader.getPeers()));
   return settings;
 }
 
--- a/packages/schema/tests/bad_input_test.cc
+++ b/packages/schema/tests/bad_input_test.cc
@@ -176,7 +176,7 @@
     }
     return indexes;
   }();
-  const std::string large(gentianroute::kLargestFile + 1, ' ');
+  const std::string large(gentianroute::kMaxFileBytes + 1, ' ');
   Check(ParseSettings,
         {{SettingsWith(R"(, "seeds": )" + deep),
           "f: seeds" + path +
