--- a/packages/gateway/src/gateway.cc
+++ b/packages/gateway/src/gateway.cc
@@ -12,8 +12,8 @@
   journal_.Write(writer);
   const auto gauge = [&writer](std::string_view name, std::string_view help,
                                double value) {
-    writer.Heading(name, "gauge", help);
-    writer.Sample(name, {}, value);
+    writer.AddMetric(name, "gauge", help);
+    writer.AddSample(name, {}, value);
   };
   const TimePoint now = loop_.Now();
   gauge("gentianroute_gateway_deployment_version", "Version in force.",
--- a/packages/gateway/src/request_journal.cc
+++ b/packages/gateway/src/request_journal.cc
@@ -83,26 +83,26 @@
 }
 
 void RequestJournal::Write(MetricWriter& writer) const {
-  writer.Heading("gentianroute_gateway_requests_total", "counter",
-                 "Requests by how they ended.");
+  writer.AddMetric("gentianroute_gateway_requests_total", "counter",
+                   "Requests by how they ended.");
   for (const auto& [outcome, count] : outcomes_) {
     const MetricLabel label{"outcome", outcome};
-    writer.Sample("gentianroute_gateway_requests_total", {&label, 1}, count);
+    writer.AddSample("gentianroute_gateway_requests_total", {&label, 1}, count);
   }
-  writer.Heading("gentianroute_gateway_repeats_total", "counter",
-                 "Work that was done once more, by what it was.");
+  writer.AddMetric("gentianroute_gateway_repeats_total", "counter",
+                   "Work that was done once more, by what it was.");
   for (const auto& [what, count] : repeats_) {
     const MetricLabel label{"what", what};
-    writer.Sample("gentianroute_gateway_repeats_total", {&label, 1}, count);
+    writer.AddSample("gentianroute_gateway_repeats_total", {&label, 1}, count);
   }
-  writer.Heading("gentianroute_gateway_first_seconds", "histogram",
-                 "Time to the first part of an answer.");
+  writer.AddMetric("gentianroute_gateway_first_seconds", "histogram",
+                   "Time to the first part of an answer.");
   for (std::size_t i = 0; i < kKinds; ++i) {
     const MetricLabel label{"kind", kKindNames[i]};
     first_[i].Write(writer, "gentianroute_gateway_first_seconds", {&label, 1});
   }
-  writer.Heading("gentianroute_gateway_total_seconds", "histogram",
-                 "Time to the end of an answer.");
+  writer.AddMetric("gentianroute_gateway_total_seconds", "histogram",
+                   "Time to the end of an answer.");
   for (std::size_t i = 0; i < kKinds; ++i) {
     const MetricLabel label{"kind", kKindNames[i]};
     total_[i].Write(writer, "gentianroute_gateway_total_seconds", {&label, 1});
--- a/packages/observe/include/gentianroute/observe/metric_writer.h
+++ b/packages/observe/include/gentianroute/observe/metric_writer.h
@@ -19,28 +19,28 @@
 class MetricWriter {
  public:
   /// @param type `counter`, `gauge` or `histogram`
-  void Heading(std::string_view name,
-               std::string_view type,
-               std::string_view help);
-  void Sample(std::string_view name,
-              std::span<const MetricLabel> labels,
-              double value);
-  void Sample(std::string_view name,
-              std::span<const MetricLabel> labels,
-              std::uint64_t value);
+  void AddMetric(std::string_view name,
+                 std::string_view type,
+                 std::string_view help);
+  void AddSample(std::string_view name,
+                 std::span<const MetricLabel> labels,
+                 double value);
+  void AddSample(std::string_view name,
+                 std::span<const MetricLabel> labels,
+                 std::uint64_t value);
 
   const std::string& text() const { return text_; }
 
  private:
-  void Line(std::string_view name,
-            std::span<const MetricLabel> labels,
-            const std::string& value);
+  void AppendLine(std::string_view name,
+                  std::span<const MetricLabel> labels,
+                  const std::string& value);
 
   std::string text_;
 };
 
 /// @brief A number in its shortest form that reads back as the same.
-std::string MetricNumber(double value);
+std::string FormatMetricNumber(double value);
 
 }  // namespace gentianroute
 
--- a/packages/observe/include/gentianroute/observe/request_metrics.h
+++ b/packages/observe/include/gentianroute/observe/request_metrics.h
@@ -83,8 +83,8 @@
   std::string_view StageLabel(std::string_view profile,
                               std::string_view stage) const;
   template <typename Series>
-  Series& Find(std::map<RequestLabels, Series>& series,
-               const RequestLabels& labels);
+  Series& SeriesFor(std::map<RequestLabels, Series>& series,
+                    const RequestLabels& labels);
   void WriteRequests(MetricWriter& writer) const;
   void WriteStages(MetricWriter& writer) const;
 
--- a/packages/observe/include/gentianroute/observe/service_level.h
+++ b/packages/observe/include/gentianroute/observe/service_level.h
@@ -41,33 +41,33 @@
   explicit AttainmentRing(Duration slot) : slot_(slot) {}
 
   void Add(TimePoint now, bool attained) {
-    Slot& slot = slots_[NumberOf(now) % kSlots];
-    if (slot.number != NumberOf(now)) {
-      slot = {NumberOf(now), {}};
+    Slot& slot = slots_[SlotNumber(now) % kSlots];
+    if (slot.number != SlotNumber(now)) {
+      slot = {SlotNumber(now), {}};
     }
     ++slot.sum.total;
     slot.sum.attained += attained ? 1 : 0;
   }
 
   /// @brief A slot that has something in it.
-  struct Filled {
+  struct ExportedSlot {
     std::int64_t number = 0;
     Attainment sum;
   };
-  std::vector<Filled> Export() const {
-    std::vector<Filled> filled;
+  std::vector<ExportedSlot> Export() const {
+    std::vector<ExportedSlot> exported;
     for (const Slot& slot : slots_) {
       if (slot.number >= 0 && slot.sum.total > 0) {
-        filled.push_back({slot.number, slot.sum});
+        exported.push_back({slot.number, slot.sum});
       }
     }
-    return filled;
+    return exported;
   }
 
   /// @brief Adds what an earlier process counted; what has left the ring by
   /// `now`, or lies after it, is passed over.
-  void Import(TimePoint now, const Filled& earlier) {
-    const std::int64_t newest = NumberOf(now);
+  void Import(TimePoint now, const ExportedSlot& earlier) {
+    const std::int64_t newest = SlotNumber(now);
     const std::int64_t oldest = newest - static_cast<std::int64_t>(kSlots) + 1;
     if (earlier.number < std::max<std::int64_t>(oldest, 0) ||
         earlier.number > newest) {
@@ -84,7 +84,7 @@
   /// @param window at most kSlots slots long; the slot at hand counts whole
   /// @complexity linear in the slots
   Attainment Sum(TimePoint now, Duration window) const {
-    const std::int64_t newest = NumberOf(now);
+    const std::int64_t newest = SlotNumber(now);
     const std::int64_t oldest = newest - window / slot_ + 1;
     Attainment sum;
     for (const Slot& slot : slots_) {
@@ -102,7 +102,7 @@
     Attainment sum;
   };
 
-  std::int64_t NumberOf(TimePoint now) const {
+  std::int64_t SlotNumber(TimePoint now) const {
     return now.time_since_epoch() / slot_;
   }
 
@@ -147,8 +147,8 @@
 
   struct Rings {
     Attainment since_start;
-    AttainmentRing<kShortSlots> by_seconds{kShortSlot};
-    AttainmentRing<kLongSlots> by_minutes{kLongSlot};
+    AttainmentRing<kShortSlots> short_ring{kShortSlot};
+    AttainmentRing<kLongSlots> long_ring{kLongSlot};
   };
 
   std::map<std::string, Rings, std::less<>> services_;
--- a/packages/observe/src/duration_histogram.cc
+++ b/packages/observe/src/duration_histogram.cc
@@ -19,7 +19,7 @@
 
 /// The library's bins exclude their upper edge and the text format's buckets
 /// include it, so each edge lies one microsecond above its bound.
-std::vector<double> Edges() {
+std::vector<double> BinEdges() {
   std::vector<double> edges = {0};
   for (const Duration bound : kUpperBounds) {
     edges.push_back(static_cast<double>(bound.count() + 1));
@@ -30,32 +30,32 @@
 }  // namespace
 
 DurationHistogram::DurationHistogram()
-    : buckets_(std::make_tuple(Axis(Edges())), Storage()) {}
+    : buckets_(std::make_tuple(Axis(BinEdges())), Storage()) {}
 
 void DurationHistogram::Add(Duration duration) {
-  const Duration taken = std::max(duration, Duration{0});
-  buckets_(static_cast<double>(taken.count()));
-  sum_seconds_ += Seconds(taken);
+  const Duration clamped = std::max(duration, Duration{0});
+  buckets_(static_cast<double>(clamped.count()));
+  sum_seconds_ += Seconds(clamped);
   ++count_;
 }
 
 void DurationHistogram::Write(MetricWriter& writer,
                               std::string_view name,
                               std::span<const MetricLabel> labels) const {
-  const std::string bucket = std::string(name) + "_bucket";
-  std::vector<MetricLabel> with_bound(labels.begin(), labels.end());
-  with_bound.push_back({"le", ""});
-  std::uint64_t below = 0;
+  const std::string bucket_name = std::string(name) + "_bucket";
+  std::vector<MetricLabel> bucket_labels(labels.begin(), labels.end());
+  bucket_labels.push_back({"le", ""});
+  std::uint64_t cumulative = 0;
   for (std::size_t i = 0; i < kUpperBounds.size(); ++i) {
-    below += buckets_.at(static_cast<int>(i));
-    const std::string bound = MetricNumber(Seconds(kUpperBounds[i]));
-    with_bound.back().value = bound;
-    writer.Sample(bucket, with_bound, below);
+    cumulative += buckets_.at(static_cast<int>(i));
+    const std::string bound = FormatMetricNumber(Seconds(kUpperBounds[i]));
+    bucket_labels.back().value = bound;
+    writer.AddSample(bucket_name, bucket_labels, cumulative);
   }
-  with_bound.back().value = "+Inf";
-  writer.Sample(bucket, with_bound, count_);
-  writer.Sample(std::string(name) + "_sum", labels, sum_seconds_);
-  writer.Sample(std::string(name) + "_count", labels, count_);
+  bucket_labels.back().value = "+Inf";
+  writer.AddSample(bucket_name, bucket_labels, count_);
+  writer.AddSample(std::string(name) + "_sum", labels, sum_seconds_);
+  writer.AddSample(std::string(name) + "_count", labels, count_);
 }
 
 }  // namespace gentianroute
--- a/packages/observe/src/metric_writer.cc
+++ b/packages/observe/src/metric_writer.cc
@@ -6,11 +6,13 @@
 namespace gentianroute {
 namespace {
 
-void AppendEscaped(std::string& output, std::string_view text, bool quotes) {
+void AppendEscaped(std::string& output,
+                   std::string_view text,
+                   bool escape_quotes) {
   for (const char c : text) {
     if (c == '\n') {
       output += "\\n";
-    } else if (c == '\\' || (quotes && c == '"')) {
+    } else if (c == '\\' || (escape_quotes && c == '"')) {
       output += '\\';
       output += c;
     } else {
@@ -21,37 +23,37 @@
 
 }  // namespace
 
-std::string MetricNumber(double value) {
-  constexpr std::size_t kLongest = 32;
-  std::array<char, kLongest> text{};
+std::string FormatMetricNumber(double value) {
+  constexpr std::size_t kMaxNumberLength = 32;
+  std::array<char, kMaxNumberLength> text{};
   const auto end =
       std::to_chars(text.data(), text.data() + text.size(), value).ptr;
   return {text.data(), end};
 }
 
-void MetricWriter::Heading(std::string_view name,
-                           std::string_view type,
-                           std::string_view help) {
+void MetricWriter::AddMetric(std::string_view name,
+                             std::string_view type,
+                             std::string_view help) {
   text_.append("# HELP ").append(name).append(" ");
   AppendEscaped(text_, help, false);
   text_.append("\n# TYPE ").append(name).append(" ").append(type).append("\n");
 }
 
-void MetricWriter::Sample(std::string_view name,
-                          std::span<const MetricLabel> labels,
-                          double value) {
-  Line(name, labels, MetricNumber(value));
+void MetricWriter::AddSample(std::string_view name,
+                             std::span<const MetricLabel> labels,
+                             double value) {
+  AppendLine(name, labels, FormatMetricNumber(value));
 }
 
-void MetricWriter::Sample(std::string_view name,
-                          std::span<const MetricLabel> labels,
-                          std::uint64_t value) {
-  Line(name, labels, std::to_string(value));
+void MetricWriter::AddSample(std::string_view name,
+                             std::span<const MetricLabel> labels,
+                             std::uint64_t value) {
+  AppendLine(name, labels, std::to_string(value));
 }
 
-void MetricWriter::Line(std::string_view name,
-                        std::span<const MetricLabel> labels,
-                        const std::string& value) {
+void MetricWriter::AppendLine(std::string_view name,
+                              std::span<const MetricLabel> labels,
+                              const std::string& value) {
   text_.append(name);
   char separator = '{';
   for (const MetricLabel& label : labels) {
--- a/packages/observe/src/request_metrics.cc
+++ b/packages/observe/src/request_metrics.cc
@@ -20,7 +20,7 @@
 
 /// A metric that is one number of each series.
 template <typename Series>
-struct NumberMetric {
+struct SeriesCounterMetric {
   std::string_view name;
   std::string_view help;
   std::uint64_t (*value)(const Series&);
@@ -33,13 +33,14 @@
   DurationHistogram Series::*histogram;
 };
 
-constexpr auto kRequestNumbers = std::to_array<NumberMetric<RequestSeries>>({
-    {"gentianroute_answers_total", "Requests answered whole.",
-     [](const RequestSeries& s) { return s.answered; }},
-    {"gentianroute_replayed_answers_total",
-     "Answers that repeat the outcome of an earlier arrival.",
-     [](const RequestSeries& s) { return s.replayed; }},
-});
+constexpr auto kRequestCounters =
+    std::to_array<SeriesCounterMetric<RequestSeries>>({
+        {"gentianroute_answers_total", "Requests answered whole.",
+         [](const RequestSeries& s) { return s.answered; }},
+        {"gentianroute_replayed_answers_total",
+         "Answers that repeat the outcome of an earlier arrival.",
+         [](const RequestSeries& s) { return s.replayed; }},
+    });
 
 constexpr auto kRequestHistograms =
     std::to_array<HistogramMetric<RequestSeries>>({
@@ -51,26 +52,27 @@
          &RequestSeries::first_token},
     });
 
-constexpr auto kStageNumbers = std::to_array<NumberMetric<StageSeries>>({
-    {"gentianroute_stage_attempts_total", "Calls to backend servers.",
-     [](const StageSeries& s) { return s.attempts; }},
-    {"gentianroute_stage_retries_total",
-     "Calls of a stage after an earlier one failed.",
-     [](const StageSeries& s) { return s.retries; }},
-    {"gentianroute_stage_hedges_total",
-     "Calls of a stage beside one that was slow.",
-     [](const StageSeries& s) { return s.hedges; }},
-    {"gentianroute_stage_units_total",
-     "Units (tokens, for engines) that backend servers reported.",
-     [](const StageSeries& s) { return s.units; }},
-    {"gentianroute_stage_billed_bytes_total",
-     "Bytes moved between regions, as billed.",
-     [](const StageSeries& s) { return s.billed_bytes; }},
-    {"gentianroute_stage_cost_micros_total", "Cost in micro-euros.",
-     [](const StageSeries& s) {
-       return static_cast<std::uint64_t>(s.cost_micros);
-     }},
-});
+constexpr auto kStageCounters =
+    std::to_array<SeriesCounterMetric<StageSeries>>({
+        {"gentianroute_stage_attempts_total", "Calls to backend servers.",
+         [](const StageSeries& s) { return s.attempts; }},
+        {"gentianroute_stage_retries_total",
+         "Calls of a stage after an earlier one failed.",
+         [](const StageSeries& s) { return s.retries; }},
+        {"gentianroute_stage_hedges_total",
+         "Calls of a stage beside one that was slow.",
+         [](const StageSeries& s) { return s.hedges; }},
+        {"gentianroute_stage_units_total",
+         "Units (tokens, for engines) that backend servers reported.",
+         [](const StageSeries& s) { return s.units; }},
+        {"gentianroute_stage_billed_bytes_total",
+         "Bytes moved between regions, as billed.",
+         [](const StageSeries& s) { return s.billed_bytes; }},
+        {"gentianroute_stage_cost_micros_total", "Cost in micro-euros.",
+         [](const StageSeries& s) {
+           return static_cast<std::uint64_t>(s.cost_micros);
+         }},
+    });
 
 constexpr auto kStageHistograms = std::to_array<HistogramMetric<StageSeries>>({
     {"gentianroute_stage_queue_seconds", "Time that a stage waited for a slot.",
@@ -79,13 +81,13 @@
      &StageSeries::latency},
 });
 
-struct CounterMetric {
+struct CoordinatorCounterMetric {
   std::string_view name;
   std::string_view help;
   std::uint64_t CoordinatorCounters::*value;
 };
 
-constexpr auto kCounters = std::to_array<CounterMetric>({
+constexpr auto kCoordinatorCounters = std::to_array<CoordinatorCounterMetric>({
     {"gentianroute_requests_total", "Requests taken in.",
      &CoordinatorCounters::submitted},
     {"gentianroute_attempts_total", "Calls to backend servers.",
@@ -115,13 +117,14 @@
 });
 
 template <typename Series, std::size_t kSize>
-void WriteNumbers(MetricWriter& writer,
-                  const std::array<NumberMetric<Series>, kSize>& metrics,
-                  const std::map<RequestLabels, Series>& all) {
+void WriteSeriesCounters(
+    MetricWriter& writer,
+    const std::array<SeriesCounterMetric<Series>, kSize>& metrics,
+    const std::map<RequestLabels, Series>& all) {
   for (const auto& metric : metrics) {
-    writer.Heading(metric.name, "counter", metric.help);
+    writer.AddMetric(metric.name, "counter", metric.help);
     for (const auto& [labels, series] : all) {
-      writer.Sample(metric.name, LabelList(labels), metric.value(series));
+      writer.AddSample(metric.name, LabelList(labels), metric.value(series));
     }
   }
 }
@@ -131,7 +134,7 @@
                      const std::array<HistogramMetric<Series>, kSize>& metrics,
                      const std::map<RequestLabels, Series>& all) {
   for (const auto& metric : metrics) {
-    writer.Heading(metric.name, "histogram", metric.help);
+    writer.AddMetric(metric.name, "histogram", metric.help);
     for (const auto& [labels, series] : all) {
       (series.*metric.histogram).Write(writer, metric.name, LabelList(labels));
     }
@@ -170,8 +173,8 @@
 }
 
 template <typename Series>
-Series& RequestMetrics::Find(std::map<RequestLabels, Series>& series,
-                             const RequestLabels& labels) {
+Series& RequestMetrics::SeriesFor(std::map<RequestLabels, Series>& series,
+                                  const RequestLabels& labels) {
   const auto found = series.find(labels);
   if (found != series.end()) {
     return found->second;
@@ -185,7 +188,7 @@
 
 void RequestMetrics::Observe(const FinishRequest& finish) {
   RequestLabels labels = LabelsOf(finish);
-  RequestSeries& request = Find(requests_, labels);
+  RequestSeries& request = SeriesFor(requests_, labels);
   request.latency.Add(finish.took);
   if (finish.first_token > Duration{0}) {
     request.first_token.Add(finish.first_token);
@@ -198,13 +201,15 @@
   }
   for (const StageReport& report : finish.stages) {
     labels.stage = StageLabel(finish.profile, report.stage);
-    StageSeries& stage = Find(stages_, labels);
+    StageSeries& stage = SeriesFor(stages_, labels);
     stage.queueing.Add(report.queued);
     stage.latency.Add(report.took);
     stage.attempts += report.attempts;
     stage.hedges += report.hedges;
-    const std::uint32_t needed = 1 + report.hedges;
-    stage.retries += report.attempts > needed ? report.attempts - needed : 0;
+    const std::uint32_t expected_attempts = 1 + report.hedges;
+    stage.retries += report.attempts > expected_attempts
+                         ? report.attempts - expected_attempts
+                         : 0;
     stage.units += report.units;
     stage.billed_bytes += report.billed_bytes;
     stage.cost_micros += report.cost;
@@ -218,29 +223,29 @@
 
 void RequestMetrics::WriteRequests(MetricWriter& writer) const {
   constexpr std::string_view kErrors = "gentianroute_errors_total";
-  WriteNumbers(writer, kRequestNumbers, requests_);
-  writer.Heading(kErrors, "counter", "Requests that ended in an error.");
+  WriteSeriesCounters(writer, kRequestCounters, requests_);
+  writer.AddMetric(kErrors, "counter", "Requests that ended in an error.");
   for (const auto& [labels, series] : requests_) {
     for (const auto& [kind, count] : series.errors) {
       const ErrorAnswer answer = AnswerFor(kind);
       Labels list = LabelList(labels);
       list.push_back({"kind", answer.name});
       list.push_back({"work", WorkKnownName(answer.work)});
-      writer.Sample(kErrors, list, count);
+      writer.AddSample(kErrors, list, count);
     }
   }
   WriteHistograms(writer, kRequestHistograms, requests_);
 }
 
 void RequestMetrics::WriteStages(MetricWriter& writer) const {
-  WriteNumbers(writer, kStageNumbers, stages_);
+  WriteSeriesCounters(writer, kStageCounters, stages_);
   WriteHistograms(writer, kStageHistograms, stages_);
 }
 
 void WriteCounters(MetricWriter& writer, const CoordinatorCounters& counters) {
-  for (const CounterMetric& metric : kCounters) {
-    writer.Heading(metric.name, "counter", metric.help);
-    writer.Sample(metric.name, {}, counters.*metric.value);
+  for (const CoordinatorCounterMetric& metric : kCoordinatorCounters) {
+    writer.AddMetric(metric.name, "counter", metric.help);
+    writer.AddSample(metric.name, {}, counters.*metric.value);
   }
 }
 
--- a/packages/observe/src/service_level.cc
+++ b/packages/observe/src/service_level.cc
@@ -6,7 +6,7 @@
 namespace gentianroute {
 namespace {
 
-constexpr auto kFirstNotOfCaller = ErrorKind::kOverloaded;
+constexpr auto kFirstServerSideError = ErrorKind::kOverloaded;
 
 }  // namespace
 
@@ -17,13 +17,13 @@
 }
 
 double Attainment::BurnRate(double target) const {
-  constexpr double kSmallestBudget = 1e-6;
-  return (1 - Share()) / std::max(1 - target, kSmallestBudget);
+  constexpr double kMinErrorBudget = 1e-6;
+  return (1 - Share()) / std::max(1 - target, kMinErrorBudget);
 }
 
 bool CountsForServiceLevel(std::optional<ErrorKind> error) {
   // The numbers below are the caller's mistakes: no daemon could answer them.
-  return !error.has_value() || *error >= kFirstNotOfCaller;
+  return !error.has_value() || *error >= kFirstServerSideError;
 }
 
 void ServiceLevels::Observe(TimePoint now,
@@ -36,15 +36,15 @@
   Rings& rings = found->second;
   ++rings.since_start.total;
   rings.since_start.attained += attained ? 1 : 0;
-  rings.by_seconds.Add(now, attained);
-  rings.by_minutes.Add(now, attained);
+  rings.short_ring.Add(now, attained);
+  rings.long_ring.Add(now, attained);
 }
 
 std::string ServiceLevels::Export() const {
   nlohmann::json services = nlohmann::json::object();
   for (const auto& [name, rings] : services_) {
     nlohmann::json slots = nlohmann::json::array();
-    for (const auto& slot : rings.by_minutes.Export()) {
+    for (const auto& slot : rings.long_ring.Export()) {
       slots.push_back({slot.number, slot.sum.total, slot.sum.attained});
     }
     services[name] = std::move(slots);
@@ -59,7 +59,7 @@
     for (const auto& [name, slots] : services.items()) {
       Rings& rings = merged.try_emplace(name).first->second;
       for (const nlohmann::json& slot : slots) {
-        rings.by_minutes.Import(now, {slot.at(0), {slot.at(1), slot.at(2)}});
+        rings.long_ring.Import(now, {slot.at(0), {slot.at(1), slot.at(2)}});
       }
     }
   } catch (const nlohmann::json::exception&) {
@@ -76,8 +76,8 @@
     for (std::size_t i = 0; i < kWindows.size(); ++i) {
       const Duration window = kWindows[i];
       service.windows[i] = window <= kShortSlot * kShortSlots
-                               ? rings.by_seconds.Sum(now, window)
-                               : rings.by_minutes.Sum(now, window);
+                               ? rings.short_ring.Sum(now, window)
+                               : rings.long_ring.Sum(now, window);
     }
     report.push_back(std::move(service));
   }
