--- a/packages/schema/src/checked_json.cc
+++ b/packages/schema/src/checked_json.cc
@@ -51,8 +51,8 @@
       const char* name = field.getProto().getName().cStr();
       if (HasAnnotation(field, Annotation::kRequired) &&
           !value.contains(name)) {
-        return Fail(path.empty() ? name : path + "." + name, "nothing",
-                    "a value: the field is required");
+        return Fail(path.empty() ? name : path + "." + name, "no value",
+                    "a value, since the field is required");
       }
     }
     return {};
@@ -80,10 +80,10 @@
     const bool required = HasAnnotation(field, Annotation::kRequired);
     if (required && value.is_string() &&
         value.get_ref<const std::string&>().empty()) {
-      return Fail(path, "an empty text", "a text that is not empty");
+      return Fail(path, "an empty string", "a non-empty string");
     }
     if (required && value.is_array() && value.empty()) {
-      return Fail(path, "an empty list", "at least one element");
+      return Fail(path, "an empty array", "at least one element");
     }
     BOOST_LEAF_CHECK(CheckValue(value, field.getType(), RangeOf(field), path));
     if (HasAnnotation(field, Annotation::kHexDigest)) {
@@ -114,7 +114,8 @@
     in_addr parsed{};
     const bool valid = inet_pton(AF_INET, text.c_str(), &parsed) == 1;
     return valid ? leaf::result<void>()
-                 : Fail(path, "'" + text + "'", "an IPv4 number");
+                 : Fail(path, "'" + text + "'",
+                        "an IPv4 address in dotted decimal notation");
   }
 
   leaf::result<void> CheckValue(const json& value,
@@ -148,12 +149,12 @@
   leaf::result<void> CheckText(const json& value,
                                const std::string& path) const {
     if (!value.is_string()) {
-      return Fail(path, Quote(value), "a text");
+      return Fail(path, Quote(value), "a string");
     }
     // The schema's texts end at a NUL: two names could become one.
     const bool has_nul =
         value.get_ref<const std::string&>().find('\0') != std::string::npos;
-    return has_nul ? Fail(path, Quote(value), "a text without NUL")
+    return has_nul ? Fail(path, Quote(value), "a string without NUL characters")
                    : leaf::result<void>();
   }
 
@@ -161,7 +162,7 @@
                                capnp::ListSchema schema,
                                const std::string& path) const {
     if (!value.is_array()) {
-      return Fail(path, Quote(value), "a list");
+      return Fail(path, Quote(value), "an array");
     }
     for (std::size_t i = 0; i < value.size(); ++i) {
       BOOST_LEAF_CHECK(CheckValue(value[i], schema.getElementType(),
@@ -186,7 +187,7 @@
   leaf::result<void> CheckInteger(const json& value,
                                   IntegerRange limits,
                                   const std::string& path) const {
-    const std::string allowed = "a whole number from " +
+    const std::string allowed = "an integer from " +
                                 std::to_string(limits.min) + " to " +
                                 std::to_string(limits.max);
     if (!value.is_number_integer()) {
@@ -206,7 +207,7 @@
 };
 
 SchemaError FileTooLarge(std::string_view file) {
-  return {std::string(file), "", "a larger file",
+  return {std::string(file), "", "a file that is too large",
           "at most " + std::to_string(kMaxFileBytes) + " bytes"};
 }
 
@@ -242,7 +243,8 @@
   file.read(text.data(), static_cast<std::streamsize>(text.size()));
   if (file.bad() || file.gcount() == 0) {
     return leaf::new_error(
-        SchemaError{path, "", "no readable file", "a file of JSON"});
+        SchemaError{path, "", "a file that is missing, empty or unreadable",
+                    "a readable JSON file"});
   }
   text.resize(static_cast<std::size_t>(file.gcount()));
   if (text.size() > kMaxFileBytes) {
--- a/packages/schema/src/declarations.cc
+++ b/packages/schema/src/declarations.cc
@@ -41,8 +41,8 @@
         std::string(field) + "[" + std::to_string(index) + "]";
     if (!documents.insert({{kind, name}, {EncodeDocument(item), 0}}).second) {
       return leaf::new_error(SchemaError{std::string(file), path + ".name",
-                                         "'" + name + "' a second time",
-                                         "a name that stands once"});
+                                         "'" + name + "' more than once",
+                                         "a unique name"});
     }
     origins[{kind, name}] = {std::string(file), path};
     ++index;
@@ -206,7 +206,7 @@
         OriginOf(file, {DocumentKind::kProfile, name}, origins);
     if (profile->stages.empty()) {
       return leaf::new_error(SchemaError{origin.file, origin.path + ".stages",
-                                         "no stage", "at least one stage"});
+                                         "no stages", "at least one stage"});
     }
     BOOST_LEAF_CHECK(CheckStagePools(origin, *profile, catalogue));
   }
@@ -277,9 +277,9 @@
   for (const auto& [name, document] : documents) {
     if (!codec.AddTo(catalogue, name, document)) {
       const Origin origin = OriginOf(file, name, origins);
-      return leaf::new_error(SchemaError{origin.file, origin.path,
-                                         "a document that can't be read",
-                                         "one that its schema allows"});
+      return leaf::new_error(
+          SchemaError{origin.file, origin.path, "an invalid document",
+                      "a document that conforms to its schema"});
     }
   }
   return CheckCatalogueReferences(file, catalogue, origins);
@@ -288,11 +288,12 @@
 std::string JsonConfigCodec::Check(const Catalogue& catalogue) const {
   return leaf::try_handle_all(
       [&]() -> leaf::result<std::string> {
-        BOOST_LEAF_CHECK(CheckCatalogueReferences("the log", catalogue, {}));
+        BOOST_LEAF_CHECK(
+            CheckCatalogueReferences("configuration log", catalogue, {}));
         return std::string();
       },
       [](const SchemaError& error) { return error.Text(); },
-      [] { return std::string("references do not hold"); });
+      [] { return std::string("the references could not be checked"); });
 }
 
 leaf::result<void> CheckDocument(const DocumentName& name,
@@ -304,8 +305,9 @@
   BOOST_LEAF_CHECK(checker(file, text));
   const json value = json::parse(text, nullptr, true, true);
   if (value["name"] != name.second) {
-    return leaf::new_error(SchemaError{file, "name", value["name"].dump(),
-                                       "the document's own name"});
+    return leaf::new_error(
+        SchemaError{file, "name", value["name"].dump(),
+                    "the name under which the document is submitted"});
   }
   if (name.first == DocumentKind::kProfile) {
     return CheckProfileSemantics({file, ""}, value);
--- a/packages/schema/src/json_structure.cc
+++ b/packages/schema/src/json_structure.cc
@@ -52,14 +52,14 @@
     if (level.keys.insert(value).second) {
       return true;
     }
-    return Fail(CurrentPath(), "the key a second time",
-                "each key once in one object");
+    return Fail(CurrentPath(), "a duplicate key",
+                "unique keys within an object");
   }
 
   bool parse_error(std::size_t /*position*/,
                    const std::string& /*token*/,
                    const json::exception& exception) override {
-    return Fail("", exception.what(), "JSON, with comments");
+    return Fail("", exception.what(), "valid JSON, optionally with comments");
   }
 
  private:
@@ -86,7 +86,7 @@
 
   bool BeginContainer(bool is_array) {
     if (levels_.size() == kMaxNestingDepth) {
-      return Fail(CurrentPath(), "a value nested deeper",
+      return Fail(CurrentPath(), "a value nested too deeply",
                   "at most " + std::to_string(kMaxNestingDepth) + " levels");
     }
     levels_.emplace_back().is_array = is_array;
--- a/packages/schema/src/profile_semantics.cc
+++ b/packages/schema/src/profile_semantics.cc
@@ -37,17 +37,17 @@
   // may repeat.
   const auto max_attempts = stage.value("maxAttempts", 1U);
   if (max_attempts > 1) {
-    return leaf::new_error(SchemaError{
-        origin.file, JoinPath(path, "maxAttempts"),
-        std::to_string(max_attempts),
-        "1, since the stage is not repeatable; or deduplicatesByKey"});
+    return leaf::new_error(
+        SchemaError{origin.file, JoinPath(path, "maxAttempts"),
+                    std::to_string(max_attempts),
+                    "1, unless repeatable or deduplicatesByKey is true"});
   }
   const auto hedge_after_ms = stage.value("hedgeAfterMs", 0U);
   if (hedge_after_ms > 0) {
-    return leaf::new_error(SchemaError{
-        origin.file, JoinPath(path, "hedgeAfterMs"),
-        std::to_string(hedge_after_ms),
-        "0, since the stage is not repeatable; or deduplicatesByKey"});
+    return leaf::new_error(
+        SchemaError{origin.file, JoinPath(path, "hedgeAfterMs"),
+                    std::to_string(hedge_after_ms),
+                    "0, unless repeatable or deduplicatesByKey is true"});
   }
   return {};
 }
@@ -66,8 +66,8 @@
     const std::string name = stage.at("name");
     if (!names.insert(name).second) {
       return leaf::new_error(SchemaError{origin.file, path + ".name",
-                                         "'" + name + "' a second time",
-                                         "a name that stands once"});
+                                         "'" + name + "' more than once",
+                                         "a unique name"});
     }
     BOOST_LEAF_CHECK(CheckRetrySettings(origin, path, stage));
     expected_ms += stage.value("expectedMs", defaults.stage.getExpectedMs());
--- a/packages/schema/src/settings.cc
+++ b/packages/schema/src/settings.cc
@@ -15,10 +15,10 @@
   for (const auto organisation : settings.getOrganisations()) {
     const std::string name = organisation.getName().cStr();
     if (!seen.insert(name).second) {
-      return leaf::new_error(SchemaError{
-          std::string(file),
-          "organisations[" + std::to_string(index) + "].name",
-          "'" + name + "' a second time", "a name that stands once"});
+      return leaf::new_error(
+          SchemaError{std::string(file),
+                      "organisations[" + std::to_string(index) + "].name",
+                      "'" + name + "' more than once", "a unique name"});
     }
     ++index;
   }
@@ -36,9 +36,9 @@
   }
   const std::string missing = certificate ? "keyFile" : "certificateFile";
   const std::string present = certificate ? "certificateFile" : "keyFile";
-  return leaf::new_error(SchemaError{std::string(file), path + "." + missing,
-                                     "nothing",
-                                     "a file, since " + present + " is named"});
+  return leaf::new_error(
+      SchemaError{std::string(file), path + "." + missing, "no value",
+                  "a file name, since " + present + " is set"});
 }
 
 leaf::result<void> CheckUniqueKeys(std::string_view file,
@@ -53,7 +53,7 @@
             std::string(file),
             "organisations[" + std::to_string(organisation_index) + "].keys[" +
                 std::to_string(key_index) + "].sha256",
-            "a digest that stands twice", "one organisation for each key"});
+            "a duplicate digest", "a digest that no other key has"});
       }
       ++key_index;
     }
--- a/packages/schema/tests/bad_input_test.cc
+++ b/packages/schema/tests/bad_input_test.cc
@@ -84,52 +84,54 @@
 }  // namespace
 
 Test(checked_settings, bad_field_is_refused_with_path_found_and_allowed) {
-  Check(ParseSettings,
-        {{SettingsWith(""), ""},
-         {SettingsWith(R"(, "nam": 1)"),
-          "f: nam: found an unknown field; allowed: one of: name dataCentre "
-          "region callers operators peers platform organisations limits links "
-          "seeds slo"},
-         {SettingsWith(R"(, "limits": {"maxQueued": "many"})"),
-          "f: limits.maxQueued: found \"many\"; allowed: a whole number from 1 "
-          "to 1000000"},
-         {SettingsWith(R"(, "limits": {"maxQueued": 0})"),
-          "f: limits.maxQueued: found 0; allowed: a whole number from 1 to "
-          "1000000"},
-         {SettingsWith(R"(, "limits": {"maxQueued": 18446744073709551615})"),
-          "f: limits.maxQueued: found 18446744073709551615; allowed: a whole "
-          "number from 1 to 1000000"},
-         {SettingsWith(R"(, "limits": {"maxQueued": 1.5})"),
-          "f: limits.maxQueued: found 1.5; allowed: a whole number from 1 to "
-          "1000000"},
-         {SettingsWith(R"(, "limits": null)"),
-          "f: limits: found null; allowed: an object"},
-         {SettingsWith(R"(, "links": {})"),
-          "f: links: found {}; allowed: a list"},
-         {SettingsWith(
-              R"(, "links": [{"dataCentre": "x", "oneWayMicros": 1,
+  Check(
+      ParseSettings,
+      {{SettingsWith(""), ""},
+       {SettingsWith(R"(, "nam": 1)"),
+        "f: nam: found an unknown field; allowed: one of: name dataCentre "
+        "region callers operators peers platform organisations limits links "
+        "seeds slo"},
+       {SettingsWith(R"(, "limits": {"maxQueued": "many"})"),
+        "f: limits.maxQueued: found \"many\"; allowed: an integer from 1 "
+        "to 1000000"},
+       {SettingsWith(R"(, "limits": {"maxQueued": 0})"),
+        "f: limits.maxQueued: found 0; allowed: an integer from 1 to "
+        "1000000"},
+       {SettingsWith(R"(, "limits": {"maxQueued": 18446744073709551615})"),
+        "f: limits.maxQueued: found 18446744073709551615; allowed: an integer "
+        "from 1 to 1000000"},
+       {SettingsWith(R"(, "limits": {"maxQueued": 1.5})"),
+        "f: limits.maxQueued: found 1.5; allowed: an integer from 1 to "
+        "1000000"},
+       {SettingsWith(R"(, "limits": null)"),
+        "f: limits: found null; allowed: an object"},
+       {SettingsWith(R"(, "links": {})"),
+        "f: links: found {}; allowed: an array"},
+       {SettingsWith(
+            R"(, "links": [{"dataCentre": "x", "oneWayMicros": 1,
                             "microsPerMegabyte": -1}])"),
-          "f: links[0].microsPerMegabyte: found -1; allowed: a whole number "
-          "from 0 to 1000000000"},
-         {SettingsWith(R"(, "seeds": [{"name": "x", "dataCentre": "y"}])"),
-          "f: seeds[0].port: found nothing; allowed: a value: the field is "
-          "required"},
-         {SettingsWith(R"(, "seeds": [{"name": "", "dataCentre": "y"}])"),
-          "f: seeds[0].name: found an empty text; allowed: a text that is not "
-          "empty"},
-         {SettingsWith(R"(, "seeds": [{"name": "a\u0000b"}])"),
-          "f: seeds[0].name: found \"a\\u0000b\"; allowed: a text without NUL"},
-         {SettingsWith(R"(, "slo": {"attainmentTarget": 1.01})"),
-          "f: slo.attainmentTarget: found 1.01; allowed: a number from 0 to 1"},
-         {SettingsWith(R"(, "platform": {"port": 4})"),
-          "f: platform: found the key a second time; allowed: each key once in "
-          "one object"},
-         {SettingsWith(R"(, "seeds": [{}, {"name": "a", "name": "b"}])"),
-          "f: seeds[1].name: found the key a second time; allowed: each key "
-          "once in one object"},
-         {"{}",
-          "f: name: found nothing; allowed: a value: the field is required"},
-         {"[]", "f: found []; allowed: an object"}});
+        "f: links[0].microsPerMegabyte: found -1; allowed: an integer from 0 "
+        "to 1000000000"},
+       {SettingsWith(R"(, "seeds": [{"name": "x", "dataCentre": "y"}])"),
+        "f: seeds[0].port: found no value; allowed: a value, since the field "
+        "is required"},
+       {SettingsWith(R"(, "seeds": [{"name": "", "dataCentre": "y"}])"),
+        "f: seeds[0].name: found an empty string; allowed: a non-empty string"},
+       {SettingsWith(R"(, "seeds": [{"name": "a\u0000b"}])"),
+        "f: seeds[0].name: found \"a\\u0000b\"; allowed: a string without NUL "
+        "characters"},
+       {SettingsWith(R"(, "slo": {"attainmentTarget": 1.01})"),
+        "f: slo.attainmentTarget: found 1.01; allowed: a number from 0 to 1"},
+       {SettingsWith(R"(, "platform": {"port": 4})"),
+        "f: platform: found a duplicate key; allowed: unique keys within an "
+        "object"},
+       {SettingsWith(R"(, "seeds": [{}, {"name": "a", "name": "b"}])"),
+        "f: seeds[1].name: found a duplicate key; allowed: unique keys within "
+        "an object"},
+       {"{}",
+        "f: name: found no value; allowed: a value, since the field is "
+        "required"},
+       {"[]", "f: found []; allowed: an object"}});
 }
 
 Test(checked_settings, bad_key_digest_is_refused) {
@@ -149,11 +151,11 @@
          {SettingsWith(R"(, "organisations": [{"name": "o", "keys": [)" +
                        KeyOf('a') + R"(]}, {"name": "q", "keys": [)" +
                        KeyOf('b') + "," + KeyOf('a') + "]}]"),
-          "f: organisations[1].keys[1].sha256: found a digest that stands "
-          "twice; allowed: one organisation for each key"},
+          "f: organisations[1].keys[1].sha256: found a duplicate digest; "
+          "allowed: a digest that no other key has"},
          {SettingsWith(R"(, "organisations": [{"name": "o"}, {"name": "o"}])"),
-          "f: organisations[1].name: found 'o' a second time; allowed: a name "
-          "that stands once"}});
+          "f: organisations[1].name: found 'o' more than once; allowed: a "
+          "unique name"}});
 }
 
 Test(checked_settings, one_file_of_a_certificate_without_the_other_is_refused) {
@@ -161,10 +163,9 @@
   const std::string plain = R"("callers": {"port": 1})";
   text.replace(text.find(plain), plain.size(),
                R"("callers": {"port": 1, "certificateFile": "c"})");
-  Check(ParseSettings,
-        {{text,
-          "f: callers.keyFile: found nothing; allowed: a file, since "
-          "certificateFile is named"}});
+  Check(ParseSettings, {{text,
+                         "f: callers.keyFile: found no value; allowed: a file "
+                         "name, since certificateFile is set"}});
 }
 
 Test(checked_settings, text_too_large_or_nested_too_deep_is_refused) {
@@ -177,11 +178,13 @@
     return indexes;
   }();
   const std::string large(gentianroute::kMaxFileBytes + 1, ' ');
-  Check(ParseSettings,
-        {{SettingsWith(R"(, "seeds": )" + deep),
-          "f: seeds" + path +
-              ": found a value nested deeper; allowed: at most 32 levels"},
-         {large, "f: found a larger file; allowed: at most 4194304 bytes"}});
+  Check(
+      ParseSettings,
+      {{SettingsWith(R"(, "seeds": )" + deep),
+        "f: seeds" + path +
+            ": found a value nested too deeply; allowed: at most 32 levels"},
+       {large,
+        "f: found a file that is too large; allowed: at most 4194304 bytes"}});
 }
 
 Test(checked_profiles, bad_field_is_refused_with_path_found_and_allowed) {
@@ -201,11 +204,10 @@
        {ProfileWith(R"(, "streams": 1)"),
         "f: profiles[0].stages[1].streams: found 1; allowed: true or false"},
        {R"({"profiles": [{"name": "a", "stages": []}]})",
-        "f: profiles[0].stages: found an empty list; allowed: at least one "
+        "f: profiles[0].stages: found an empty array; allowed: at least one "
         "element"},
        {R"({"pools": [{"name": "p"}, {"name": "p"}]})",
-        "f: pools[1].name: found 'p' a second time; allowed: a name that "
-        "stands once"},
+        "f: pools[1].name: found 'p' more than once; allowed: a unique name"},
        {R"({"profiles": [{"name": "a", "stages": [
             {"name": "s", "pool": "lm"}]}]})",
         "f: profiles[0].stages[0].pool: found 'lm'; allowed: the name of a "
@@ -223,30 +225,29 @@
 }
 
 Test(checked_profiles, fields_that_contradict_each_other_are_refused) {
-  Check(
-      ParseProfiles,
-      {{ProfileWith(R"(, "repeatable": false)"), ""},
-       {ProfileWith(R"(, "repeatable": false, "maxAttempts": 1)"), ""},
-       {ProfileWith(R"(, "repeatable": false, "maxAttempts": 3)"),
-        "f: profiles[0].stages[1].maxAttempts: found 3; allowed: 1, since the "
-        "stage is not repeatable; or deduplicatesByKey"},
-       {ProfileWith(R"(, "repeatable": false, "hedgeAfterMs": 20)"),
-        "f: profiles[0].stages[1].hedgeAfterMs: found 20; allowed: 0, since "
-        "the stage is not repeatable; or deduplicatesByKey"},
-       {ProfileWith(R"(, "repeatable": false, "deduplicatesByKey": true,
+  Check(ParseProfiles,
+        {{ProfileWith(R"(, "repeatable": false)"), ""},
+         {ProfileWith(R"(, "repeatable": false, "maxAttempts": 1)"), ""},
+         {ProfileWith(R"(, "repeatable": false, "maxAttempts": 3)"),
+          "f: profiles[0].stages[1].maxAttempts: found 3; allowed: 1, unless "
+          "repeatable or deduplicatesByKey is true"},
+         {ProfileWith(R"(, "repeatable": false, "hedgeAfterMs": 20)"),
+          "f: profiles[0].stages[1].hedgeAfterMs: found 20; allowed: 0, unless "
+          "repeatable or deduplicatesByKey is true"},
+         {ProfileWith(R"(, "repeatable": false, "deduplicatesByKey": true,
                         "maxAttempts": 3, "hedgeAfterMs": 20)"),
-        ""},
-       {ProfileWith("", R"(, "deadlineMs": 99)"),
-        "f: profiles[0].deadlineMs: found 99; allowed: at least 100, the sum "
-        "of the stages' expectedMs"},
-       {ProfileWith("", R"(, "deadlineMs": 100)"), ""},
-       {ProfileWith(R"(, "expectedMs": 5951)"),
-        "f: profiles[0].deadlineMs: found 6000; allowed: at least 6001, the "
-        "sum of the stages' expectedMs"},
-       {R"({"pools": [{"name": "p"}], "profiles": [{"name": "a", "stages": [
+          ""},
+         {ProfileWith("", R"(, "deadlineMs": 99)"),
+          "f: profiles[0].deadlineMs: found 99; allowed: at least 100, the sum "
+          "of the stages' expectedMs"},
+         {ProfileWith("", R"(, "deadlineMs": 100)"), ""},
+         {ProfileWith(R"(, "expectedMs": 5951)"),
+          "f: profiles[0].deadlineMs: found 6000; allowed: at least 6001, the "
+          "sum of the stages' expectedMs"},
+         {R"({"pools": [{"name": "p"}], "profiles": [{"name": "a", "stages": [
             {"name": "s", "pool": "p"}, {"name": "s", "pool": "p"}]}]})",
-        "f: profiles[0].stages[1].name: found 's' a second time; allowed: a "
-        "name that stands once"}});
+          "f: profiles[0].stages[1].name: found 's' more than once; allowed: a "
+          "unique name"}});
 }
 
 Test(checked_document, body_that_its_schema_refuses_is_refused) {
@@ -257,11 +258,12 @@
   Check(check,
         {{R"({"name": "a", "stages": [{"name": "s", "pool": "p"}]})", ""},
          {R"({"name": "b", "stages": [{"name": "s", "pool": "p"}]})",
-          "profile/a: name: found \"b\"; allowed: the document's own name"},
+          "profile/a: name: found \"b\"; allowed: the name under which the "
+          "document is submitted"},
          {R"({"name": "a", "stages": [{"name": "s", "pool": "p",
               "repeatable": false, "maxAttempts": 2}]})",
-          "profile/a: stages[0].maxAttempts: found 2; allowed: 1, since the "
-          "stage is not repeatable; or deduplicatesByKey"}});
+          "profile/a: stages[0].maxAttempts: found 2; allowed: 1, unless "
+          "repeatable or deduplicatesByKey is true"}});
 }
 
 Test(checked_file, file_that_is_missing_is_refused) {
@@ -270,6 +272,6 @@
     return {};
   };
   Check(read, {{"no-such-file",
-                "no-such-file: found no readable file; "
-                "allowed: a file of JSON"}});
+                "no-such-file: found a file that is missing, empty or "
+                "unreadable; allowed: a readable JSON file"}});
 }
