--- a/packages/schema/include/gentianroute/schema/declarations.h
+++ b/packages/schema/include/gentianroute/schema/declarations.h
@@ -11,39 +11,42 @@
 
 namespace gentianroute {
 
-/// @brief Where a document was read.
+/// @brief Where a document was declared.
 struct Origin {
   std::string file;
-  std::string path;  ///< like `profiles[0]`
+  std::string path;  ///< path in the file, like `profiles[0]`
 };
 using Origins = std::map<DocumentName, Origin>;
 
-/// @brief Reads a profile file into documents; every one is valid by itself.
-/// @param origins gets the place of each document
-/// @return SchemaError, see DecodeChecked(); also for a name that stands twice,
-/// a stage that must not repeat but is told to, and a deadline that the stages
-/// can't meet
+/// @brief Parses a profile file into documents and validates each one by
+/// itself; see CheckReferences() for references between documents.
+/// @param origins receives the location of each document
+/// @return SchemaError, see DecodeChecked() and CheckProfileSemantics(); also
+/// for a duplicate document name
 leaf::result<Documents> ParseDeclarations(std::string_view file,
                                           std::string_view text,
                                           Origins& origins);
 leaf::result<Documents> ParseDeclarations(std::string_view file,
                                           std::string_view text);
 
-/// @brief Checks what one document says of another: each stage names a pool,
-/// each service a profile.
-/// @param file for documents without an origin
-/// @param documents all documents that would be in force
+/// @brief Checks references between documents: each stage must name a declared
+/// pool and each service a declared profile.
+/// @param file name used in errors for documents without an origin
+/// @param documents the complete configuration to check
+/// @return SchemaError for an undeclared name, a profile without stages or a
+/// document that does not conform to its schema
 leaf::result<void> CheckReferences(std::string_view file,
                                    const Documents& documents,
                                    const Origins& origins = {});
 
-/// @brief Checks one document by itself, as ParseDeclarations() does.
+/// @brief Validates one document by itself, as ParseDeclarations() does.
+/// @param name kind and name; the name must equal the one in the JSON
 /// @param text JSON of the document
 /// @return SchemaError whose file is `kind/name`
 leaf::result<void> CheckDocument(const DocumentName& name,
                                  std::string_view text);
 
-/// @brief Text forms of the configuration log, as JSON by the schema.
+/// @brief Encodes revisions and snapshots of the configuration log as JSON.
 class JsonConfigCodec final : public ConfigCodec {
  public:
   std::string Encode(const ConfigRevision& revision) const override;
@@ -57,7 +60,7 @@
   std::string Check(const Catalogue& catalogue) const override;
 };
 
-/// @brief The word of a document's kind: `profile`, `service` or `pool`.
+/// @brief Name of a document kind: `profile`, `service` or `pool`.
 std::string_view DocumentKindName(DocumentKind kind);
 std::optional<DocumentKind> DocumentKindFromName(std::string_view name);
 
--- a/packages/schema/include/gentianroute/schema/reference.h
+++ b/packages/schema/include/gentianroute/schema/reference.h
@@ -5,12 +5,12 @@
 
 namespace gentianroute {
 
-/// @brief Markdown tables of every field, from the compiled schema: type,
+/// @brief Markdown table of all fields of the compiled schema, with type,
 /// default, limits and meaning.
 std::string SettingsReference();
 std::string ProfilesReference();
 
-/// @brief Markdown table of every error kind, from the closed list.
+/// @brief Markdown table of all error kinds.
 std::string ErrorsReference();
 
 }  // namespace gentianroute
--- a/packages/schema/include/gentianroute/schema/rows.h
+++ b/packages/schema/include/gentianroute/schema/rows.h
@@ -9,21 +9,22 @@
 
 namespace gentianroute {
 
-/// @brief Claim rows as JSON by the schema.
+/// @brief Encodes claim rows as JSON.
 class JsonClaimCodec final : public ClaimCodec {
  public:
   std::string Encode(const Claim& claim) const override;
   std::optional<Claim> Decode(std::string_view text) const override;
 };
 
-/// @brief Lease rows as JSON by the schema.
+/// @brief Encodes lease rows as JSON.
 class JsonLeaseCodec final : public LeaseCodec {
  public:
   std::string Encode(const Lease& lease) const override;
   std::optional<Lease> Decode(std::string_view text) const override;
 };
 
-/// @brief Between the schema's revisions (rows, peers) and the plain ones.
+/// @brief Converts revisions and snapshots between the schema's messages, which
+/// rows and peers use, and the plain structs.
 void WriteRevision(const ConfigRevision& revision,
                    schema::ConfigRevision::Builder output);
 ConfigRevision ReadRevision(schema::ConfigRevision::Reader input);
--- a/packages/schema/include/gentianroute/schema/settings.h
+++ b/packages/schema/include/gentianroute/schema/settings.h
@@ -13,10 +13,12 @@
 
 namespace gentianroute {
 
-/// @brief The checked settings of one daemon.
+/// @brief Validated settings of one daemon.
 class Settings {
  public:
-  /// @return SchemaError, see DecodeChecked()
+  /// @return SchemaError, see DecodeChecked(); also for a duplicate
+  /// organisation name or key digest, and for a certificate file without a key
+  /// file or the reverse
   static leaf::result<Settings> Parse(std::string_view file,
                                       std::string_view text);
   static leaf::result<Settings> Load(const std::string& path);
--- a/packages/schema/schema/cluster.capnp
+++ b/packages/schema/schema/cluster.capnp
@@ -1,12 +1,12 @@
 @0xd3c1a7e95b2f4680;
-# Between the daemons that share backend servers.
+# Messages between the daemons that share backend servers.
 
 using Cxx = import "/capnp/c++.capnp";
 using Peer = import "peer.capnp";
 $Cxx.namespace("gentianroute::schema");
 
 struct ServerWork {
-  # What one daemon has at one backend server.
+  # Work that one daemon has in flight at one backend server.
   server @0 :Text;
   calls @1 :Float32;
   tokens @2 :Float32;
@@ -14,41 +14,41 @@
 }
 
 struct StageBacklog {
-  # What waits for the stage servers of one service in one data centre; told by
-  # the daemon that schedules them.
+  # Work queued for the stage servers of one service in one data centre, as
+  # reported by the daemon that schedules them.
   service @0 :Text;
   dataCentre @1 :Text;
-  inTimeMs @2 :Float32;               # of work that can still be in time
-  allMs @3 :Float32;
+  inTimeMs @2 :Float32;               # work that can still meet its deadline
+  allMs @3 :Float32;                  # all queued work
 }
 
 struct LostDaemon {
-  # A daemon that those of its data centre hear no more.
+  # A daemon that the other daemons of its data centre no longer receive from.
   name @0 :Text;
   incarnation @1 :UInt64;
 }
 
 struct Beat {
-  # Sent to peers now and then, as a datagram; soft state only.
+  # Heartbeat datagram, sent to peers periodically; carries soft state only.
   daemon @0 :Text;
   incarnation @1 :UInt64;
   address @2 :Text;
   port @3 :UInt16;
   dataCentre @4 :Text;
   draining @5 :Bool;
-  deploymentVersion @6 :UInt64;       # of the row in the store
-  serversVersion @7 :UInt64;          # of the newest change of the host list
-  storeContact @8 :UInt8;             # 0: does not ask it, 1: it answers, 2: silent
+  deploymentVersion @6 :UInt64;       # version of the row in the store
+  serversVersion @7 :UInt64;          # newest change in the host list
+  storeContact @8 :UInt8;             # 0: not in use, 1: answers, 2: no answer
   work @9 :List(ServerWork);
   backlogs @10 :List(StageBacklog);
   quarantined @11 :List(Peer.Quarantine);
   processorShare @12 :Float32;        # cores that this daemon may use
-  lost @13 :List(LostDaemon);         # of the sender's data centre, a short time ago
-  nextMs @14 :UInt32;                 # within this the receiver hears the sender again
+  lost @13 :List(LostDaemon);         # lost recently in the sender's data centre
+  nextMs @14 :UInt32;                 # maximum time until the next heartbeat
 }
 
 struct Group {
-  # All pieces of one stage of one request.
+  # All pieces of one stage of one request, scheduled together.
   service @0 :Text;
   dataCentre @1 :Text;
   request @2 :Text;
@@ -60,12 +60,12 @@
   wantedMs @8 :Int32;                 # from now
   deadlineMs @9 :Int32;               # from now
   priority @10 :UInt32;
-  resultBytes @11 :Float64;           # of one piece, about
-  weight @12 :Float32;                # of the request among those of its route
+  resultBytes @11 :Float64;           # estimated size of the result of one piece
+  weight @12 :Float32;                # weight of the request within its route
 }
 
 struct GroupOutcome {
-  failure @0 :UInt16;                 # 0: done; else 1 + the kind of failure
+  failure @0 :UInt16;                 # 0: done; otherwise 1 + failure kind
   results @1 :List(Text);
 }
 
@@ -74,19 +74,19 @@
   value @1 :Data;
   version @2 :UInt64;
   deleted @3 :Bool;
-  inflatedSize @4 :UInt32;            # of the value; 0: it is not compressed
+  inflatedSize @4 :UInt32;            # of the value; 0: not compressed
 }
 
 struct StoreCopy {
-  # What a peer last read in the store, as far as it is newer: the oldest of it,
-  # if all of it would be too much for one message.
+  # Rows that a peer has read from the store and that are newer than the versions
+  # in the request; only the oldest ones if all would not fit into one message.
   deployment @0 :List(Row);
   servers @1 :List(Row);
-  serversVersion @2 :UInt64;          # that the copy is complete up to; 0: nothing
-  serversWhole @3 :Bool;              # for one that knows nothing yet
-  serversListed @4 :List(UInt64);     # hashes of the keys of all rows; empty: the
-                                      # deletions are among the rows
-  serversListedVersion @5 :UInt64;    # at which those were all
+  serversVersion @2 :UInt64;          # the copy is complete up to this; 0: empty
+  serversWhole @3 :Bool;              # whole list, for a daemon that has none
+  serversListed @4 :List(UInt64);     # hashes of the keys of all rows; empty if
+                                      # `servers` contains the deletions itself
+  serversListedVersion @5 :UInt64;    # version at which serversListed was complete
 }
 
 interface Cluster {
--- a/packages/schema/schema/peer.capnp
+++ b/packages/schema/schema/peer.capnp
@@ -1,5 +1,5 @@
 @0xa94f0d7be2c61835;
-# Between daemons, over Cap'n Proto RPC.
+# Interface between daemons, over Cap'n Proto RPC.
 
 using Cxx = import "/capnp/c++.capnp";
 using Platform = import "platform.capnp";
@@ -22,7 +22,8 @@
 }
 
 struct Host {
-  # As the platform's list has it; the load is left out, it would be too old.
+  # An entry of the platform's host list, without the load, which would be
+  # outdated on arrival.
   name @0 :Text;
   address @1 :Text;
   port @2 :UInt16;
@@ -35,7 +36,7 @@
 }
 
 struct Digest {
-  # Exchanged at each heartbeat; soft state only.
+  # State summary exchanged at each heartbeat; soft state only.
   daemon @0 :Text;
   incarnation @1 :UInt64;
   dataCentre @2 :Text;
@@ -44,15 +45,15 @@
   heavy @5 :List(HeavyUse);
   leaving @6 :List(LeavingServer);
   quarantined @7 :List(Quarantine);
-  storeAgeMs @8 :UInt32 = 0xffffffff; # since somebody has read the store's log
+  storeAgeMs @8 :UInt32 = 0xffffffff; # since any daemon last read the store's log
 }
 
 struct Outcome {
-  known @0 :Bool;                     # false: this daemon does not know the claim
+  known @0 :Bool;                     # false: the claim is unknown to this daemon
   status @1 :UInt16;
   body @2 :Text;
   kind @3 :UInt16;                    # error kind number; 0: an answer
-  abandoned @4 :Bool;                 # never dispatched and never will be
+  abandoned @4 :Bool;                 # not dispatched, and never will be
 }
 
 interface Peer {
--- a/packages/schema/schema/platform.capnp
+++ b/packages/schema/schema/platform.capnp
@@ -1,5 +1,5 @@
 @0xe7a1c95d30b24f68;
-# Rows that the daemons keep in the platform's table service, as JSON.
+# Rows that the daemons store in the platform's table service, as JSON.
 
 using Cxx = import "/capnp/c++.capnp";
 $Cxx.namespace("gentianroute::schema");
@@ -14,12 +14,12 @@
   kind @0 :DocumentKind;
   name @1 :Text;
   body @2 :Text;                      # JSON of the document; empty: deleted
-  baseRevision @3 :UInt64;            # revision the author saw; 0: did not exist
+  baseRevision @3 :UInt64;            # revision that the author edited; 0: new
 }
 
 struct ConfigRevision {
   revision @0 :UInt64;
-  changeId @1 :Text;                  # settles a lost answer
+  changeId @1 :Text;                  # tells a retry from a new change
   author @2 :Text;
   unixMicros @3 :UInt64;
   changes @4 :List(DocumentChange);
@@ -29,11 +29,11 @@
   kind @0 :DocumentKind;
   name @1 :Text;
   body @2 :Text;
-  revision @3 :UInt64;                # that wrote it last
+  revision @3 :UInt64;                # that last changed the document
 }
 
 struct ConfigSnapshot {
-  # In the object store, and from peer to peer.
+  # Stored in the object store and sent between peers.
   revision @0 :UInt64;
   documents @1 :List(ConfigDocument);
 }
@@ -53,12 +53,12 @@
   enum State {
     claimed @0;
     answered @1;
-    notRun @2;                        # given back: the key may be claimed again
+    notRun @2;                        # released: the key may be claimed again
   }
 }
 
 struct LeaseRow {
   pool @0 :Text;
   holder @1 :Text;
-  fencing @2 :UInt64;                 # grows with every holder
+  fencing @2 :UInt64;                 # fencing number; grows with every holder
 }
--- a/packages/schema/schema/profile.capnp
+++ b/packages/schema/schema/profile.capnp
@@ -1,13 +1,13 @@
 @0xb6c4a5f2d1e03971;
-# What operators declare: profiles, services and pools. One document each.
+# Declarations of operators: profiles, services and pools, one document each.
 
 using Cxx = import "/capnp/c++.capnp";
 using Constraint = import "constraint.capnp";
 $Cxx.namespace("gentianroute::schema");
 
 enum Objective {
-  attainment @0;  # the deadline goes before the price
-  cost @1;        # the cheapest way that still meets the deadline
+  attainment @0;  # meeting the deadline comes before cost
+  cost @1;        # the cheapest choice that still meets the deadline
 }
 
 struct Stage {
@@ -76,7 +76,8 @@
 }
 
 struct EngineGroup {
-  # Engines of a pool that run the same: those named, and any `count` others.
+  # Engines of a pool that run the same model: the named servers and `count`
+  # others.
   model @0 :Text
       $Constraint.required
       $Constraint.about("Model that they load.");
@@ -112,7 +113,7 @@
 }
 
 struct Declarations {
-  # The content of a profile file: any number of documents of each sort.
+  # Content of a profile file: any number of documents of each kind.
   pools @0 :List(Pool)
       $Constraint.about("Pools of backend servers.");
   profiles @1 :List(Profile)
--- a/packages/schema/schema/settings.capnp
+++ b/packages/schema/schema/settings.capnp
@@ -1,5 +1,5 @@
 @0xd0b7e6a91c2f4385;
-# The settings of one daemon, read from JSON with comments.
+# Settings of one daemon, read from JSON with comments.
 
 using Cxx = import "/capnp/c++.capnp";
 using Constraint = import "constraint.capnp";
@@ -119,7 +119,7 @@
 }
 
 struct Link {
-  # The path from this daemon's data centre to another.
+  # Network path from this daemon's data centre to another one.
   dataCentre @0 :Text
       $Constraint.required
       $Constraint.about("The other data centre.");
--- a/packages/schema/src/checked_json.cc
+++ b/packages/schema/src/checked_json.cc
@@ -28,7 +28,8 @@
   return text;
 }
 
-/// Walks JSON along the schema; stops at the first error.
+/// Validates a JSON value recursively against a schema and stops at the first
+/// error.
 class SchemaChecker {
  public:
   explicit SchemaChecker(std::string_view file) : file_(file) {}
@@ -99,8 +100,9 @@
                                     const std::string& path) const {
     bool valid = text.size() == kHexDigestLength;
     for (const char c : text) {
-      // Lower case only, as the daemon writes digests: in upper case it would
-      // match no key, and every call with that key would be refused.
+      // The daemon computes digests in lower case and compares them as text.
+      // An upper-case digest would never match, so every call with that key
+      // would be rejected.
       valid = valid && (std::isdigit(static_cast<unsigned char>(c)) != 0 ||
                         (c >= 'a' && c <= 'f'));
     }
@@ -151,7 +153,8 @@
     if (!value.is_string()) {
       return Fail(path, Quote(value), "a string");
     }
-    // The schema's texts end at a NUL: two names could become one.
+    // Cap'n Proto texts end at the first NUL, so two different names could
+    // become equal.
     const bool has_nul =
         value.get_ref<const std::string&>().find('\0') != std::string::npos;
     return has_nul ? Fail(path, Quote(value), "a string without NUL characters")
@@ -237,8 +240,8 @@
 
 leaf::result<std::string> ReadFile(const std::string& path) {
   std::ifstream file(path, std::ios::binary);
-  // One byte more than allowed tells a file that is too large from one that
-  // just fits, without reading all of it.
+  // Reading one byte beyond the maximum detects a file that is too large
+  // without reading all of it.
   std::string text(kMaxFileBytes + 1, '\0');
   file.read(text.data(), static_cast<std::streamsize>(text.size()));
   if (file.bad() || file.gcount() == 0) {
--- a/packages/schema/src/constraints.h
+++ b/packages/schema/src/constraints.h
@@ -8,7 +8,7 @@
 
 namespace gentianroute {
 
-/// @brief Ids of the annotations in constraint.capnp.
+/// @brief Ids of the annotations that constraint.capnp defines.
 enum class Annotation : std::uint64_t {
   kMin = 0xa1d3c5e7f9b20461,
   kMax = 0xb2e4d6f8a0c31572,
@@ -18,7 +18,7 @@
   kAbout = 0xd7c8e9f0a1b25369,
 };
 
-/// @brief Smallest and largest value of a whole number.
+/// @brief Inclusive range of an integer field.
 struct IntegerRange {
   std::int64_t min = 0;
   std::int64_t max = 0;
@@ -26,13 +26,14 @@
 
 bool HasAnnotation(capnp::StructSchema::Field field, Annotation annotation);
 
-/// @return the sentence about the field; empty if it has none
+/// @return text of the field's `about` annotation; empty if it has none
 std::string DescriptionOf(capnp::StructSchema::Field field);
 
-/// @brief The range of the field's type, narrowed by its annotations.
+/// @brief Range of the field's integer type, narrowed by its `min` and `max`
+/// annotations.
 IntegerRange RangeOf(capnp::StructSchema::Field field);
 
-/// @return `one of:` and the enumerants
+/// @return `one of:` followed by the names of the enumerants
 std::string EnumerantNames(capnp::EnumSchema schema);
 
 }  // namespace gentianroute
--- a/packages/schema/src/declarations.cc
+++ b/packages/schema/src/declarations.cc
@@ -172,7 +172,8 @@
 constexpr std::array<DocumentAdder, 3> kDocumentAdders = {
     &AddProfile, &AddService, &AddPool};
 
-/// Where a document stands; by its name, if it stands in no file.
+/// Location of a document for error messages; a document without an origin is
+/// identified by `kind/name`.
 Origin OriginOf(std::string_view file,
                 const DocumentName& name,
                 const Origins& origins) {
--- a/packages/schema/src/json_structure.cc
+++ b/packages/schema/src/json_structure.cc
@@ -13,7 +13,8 @@
 
 constexpr std::size_t kMaxNestingDepth = 32;
 
-/// Hears every token of the text; returning false stops the parser.
+/// SAX handler that tracks the path of the current value. Returning false from
+/// an event stops the parser.
 class StructureHandler final : public json::json_sax_t {
  public:
   explicit StructureHandler(std::string_view file) {
@@ -65,9 +66,9 @@
  private:
   struct Level {
     bool is_array = false;
-    std::size_t index = 0;  ///< of the element at hand, in a list
-    std::string key;        ///< of the member at hand, in an object
-    std::set<std::string> keys;
+    std::size_t index = 0;       ///< current element of an array
+    std::string key;             ///< current member of an object
+    std::set<std::string> keys;  ///< keys of the object so far
   };
 
   bool Fail(std::string path, std::string found, std::string allowed) {
--- a/packages/schema/src/json_structure.h
+++ b/packages/schema/src/json_structure.h
@@ -8,9 +8,9 @@
 
 namespace gentianroute {
 
-/// @brief Checks what the parsed value no longer shows: duplicate keys, and
-/// nesting so deep that a recursive walk would run out of stack.
-/// @return SchemaError, also for text that is not JSON
+/// @brief Rejects duplicate keys, which a parsed value no longer shows, and
+/// nesting so deep that recursive code would overflow the stack.
+/// @return SchemaError, also for text that is not valid JSON
 /// @complexity linear in the text, logarithmic in the keys of one object
 leaf::result<void> CheckJsonStructure(std::string_view file,
                                       std::string_view text);
--- a/packages/schema/src/profile_semantics.cc
+++ b/packages/schema/src/profile_semantics.cc
@@ -11,7 +11,7 @@
 
 using nlohmann::json;
 
-/// The default that the schema gives to the fields that are not stated.
+/// Empty messages that provide the schema's default values.
 struct SchemaDefaults {
   capnp::MallocMessageBuilder message;
   schema::Profile::Reader profile =
@@ -33,8 +33,8 @@
   if (may_retry) {
     return {};
   }
-  // Only what is stated: the default number of attempts is for the stages that
-  // may repeat.
+  // Only values set explicitly count: the schema's default for maxAttempts
+  // applies to stages that may be retried.
   const auto max_attempts = stage.value("maxAttempts", 1U);
   if (max_attempts > 1) {
     return leaf::new_error(
--- a/packages/schema/src/profile_semantics.h
+++ b/packages/schema/src/profile_semantics.h
@@ -8,11 +8,11 @@
 
 namespace gentianroute {
 
-/// @brief Checks what the fields of one profile say together.
-/// @param profile has passed DecodeChecked()
-/// @return SchemaError for a stage name that stands twice, a stage that must
-/// not repeat with more than one attempt or a hedge stated, or a deadline
-/// shorter than the stages' expected time
+/// @brief Checks rules that involve several fields of one profile.
+/// @param profile JSON that has passed DecodeChecked()
+/// @return SchemaError for a duplicate stage name, a non-repeatable stage that
+/// sets more than one attempt or a hedge, or a deadline shorter than the sum of
+/// the stages' expected durations
 leaf::result<void> CheckProfileSemantics(const Origin& origin,
                                          const nlohmann::json& profile);
 
--- a/packages/schema/src/rows.cc
+++ b/packages/schema/src/rows.cc
@@ -14,7 +14,7 @@
   return codec.encode(message.getRoot<Schema>().asReader()).cStr();
 }
 
-/// Rows are read leniently: a newer daemon may have written more fields.
+/// Ignores unknown fields, since a newer daemon may have written the row.
 template <typename Schema>
 bool DecodeRoot(std::string_view text, capnp::MallocMessageBuilder& message) {
   capnp::JsonCodec codec;
--- a/packages/schema/src/settings.cc
+++ b/packages/schema/src/settings.cc
@@ -25,7 +25,8 @@
   return {};
 }
 
-/// One file without the other would leave the listener without TLS.
+/// TLS needs both files; with only one, the listener would silently serve
+/// plain text.
 leaf::result<void> CheckTlsFiles(std::string_view file,
                                  const std::string& path,
                                  schema::Listener::Reader listener) {
--- a/packages/schema/tests/bad_input_test.cc
+++ b/packages/schema/tests/bad_input_test.cc
@@ -57,7 +57,7 @@
   }
 }
 
-/// Valid settings with `more` added at the end.
+/// Valid settings with `more` appended to the top-level object.
 std::string SettingsWith(const std::string& more) {
   return R"({"name": "e", "dataCentre": "d", "region": "r",
     "callers": {"port": 1}, "operators": {"port": 2}, "peers": {"port": 3},
@@ -143,7 +143,8 @@
                        KeyOf('x') + "]}]"),
           "f: organisations[0].keys[0].sha256: found '" + Digest('x') +
               "'; allowed: 64 hexadecimal digits in lower case"},
-         // The daemon's own digests are in lower case; this would match none.
+         // The daemon computes digests in lower case, so this would never
+         // match.
          {SettingsWith(R"(, "organisations": [{"name": "o", "keys": [)" +
                        KeyOf('A') + "]}]"),
           "f: organisations[0].keys[0].sha256: found '" + Digest('A') +
--- a/packages/schema/tests/config_history_test.cc
+++ b/packages/schema/tests/config_history_test.cc
@@ -12,7 +12,7 @@
 
 namespace {
 
-/// What some source tells at one time: a part of the log, or a snapshot.
+/// One delivery from a store or peer: a range of the log, or a snapshot.
 struct Delivery {
   bool snapshot = false;
   std::uint64_t after = 0;
@@ -71,9 +71,9 @@
 
 }  // namespace
 
-// Store and peers tell parts of the log and snapshots late, twice and out of
-// order. Whatever comes, a daemon moves forward only, and holds exactly what
-// the log says at its revision, in documents and in catalogue.
+// The store and peers deliver ranges of the log and snapshots late, duplicated
+// and out of order. For any sequence of deliveries, the revision never
+// decreases, and documents and catalogue match the log at that revision.
 Test(config_follower, any_history_holds_the_log_at_its_revision) {
   const bool holds = rc::check([] {
     const auto history =
--- a/packages/schema/tests/config_log_test.cc
+++ b/packages/schema/tests/config_log_test.cc
@@ -17,7 +17,8 @@
 const std::string kProfile =
     R"({"name":"f","stages":[{"name":"a","pool":"p"}]})";
 
-/// Tables and objects that answer at once, and drivers of the state machines.
+/// In-memory tables and objects that answer immediately, and loops that drive
+/// the state machines to completion.
 struct Platform {
   JsonConfigCodec codec;
   std::map<TableKey, TableRow> rows;
@@ -103,7 +104,8 @@
   return apply.state();
 }
 
-/// Changes of one pool, one revision each, and the snapshots that are due.
+/// Applies changes of one pool, one revision each, and writes the snapshots
+/// that become due.
 void AddRevisions(Platform& platform, ConfigFollower& follower, int count) {
   for (int i = 0; i < count; ++i) {
     const DocumentName name{DocumentKind::kPool, "p"};
@@ -122,9 +124,10 @@
 
 }  // namespace
 
-// The operator's apply gets no answer, though the write took effect. A day
-// later the operator asks another daemon, with the same id; the daemon knows
-// only a snapshot in which the change no longer stands by itself.
+// The answer to an apply is lost although its write took effect. The operator
+// retries later at another daemon with the same change id. That daemon has only
+// a snapshot, which no longer contains the change as a separate revision, so it
+// must recognise the change by its id.
 Test(config_apply, lost_answer_is_settled_by_id_at_a_daemon_with_no_log) {
   Platform platform;
   ConfigFollower first({2}, platform.codec);
@@ -144,10 +147,10 @@
   cr_assert_eq(again.revision(), 2);
 }
 
-// A daemon reads the log before a change of its own took effect, and is paused.
-// A peer tells it the revision that holds the change; then the old read comes
-// in. The operator must not be told that the change conflicts with itself.
-// Found by random_config, seed 29.
+// A read of the log from before the daemon's own change took effect arrives
+// after a peer has delivered the revision that holds the change. The change
+// must not be reported as a conflict with itself. Found by random_config,
+// seed 29.
 Test(config_apply, read_older_than_what_peers_told_is_no_conflict_with_itself) {
   Platform platform;
   ConfigFollower follower(platform.codec);
@@ -191,9 +194,9 @@
   cr_assert_eq(apply.theirs().revision, 2);
 }
 
-// One operator deletes a pool while another's profile begins to use it. Each
-// change is valid against what its author saw; both together would leave a
-// stage without pool and every request of the service without answer.
+// One operator deletes a pool while another adds a profile that uses it. Each
+// change is valid against the revision that its author saw, but together they
+// leave a stage without a pool, and every request of the service would fail.
 Test(config_apply, rebase_that_leaves_a_stage_without_pool_is_refused) {
   Platform platform;
   ConfigFollower first(platform.codec);
@@ -211,8 +214,8 @@
   cr_assert(slow.problem().find("'p'") != std::string::npos);
 }
 
-// Pollers read the log once a second for ever, and the store has two thousand
-// reads a second for everything.
+// Every daemon polls the log once a second, and the store allows only 2000
+// reads per second in total, so an idle poll must stay small.
 Test(config_apply, poll_that_finds_nothing_new_reads_three_rows) {
   Platform platform;
   ConfigFollower follower(platform.codec);
@@ -223,8 +226,8 @@
   cr_assert(poll.state() == State::kCaughtUp);
 }
 
-// The rows of old revisions are gone. A new host must get everything from the
-// snapshot and the rows after it.
+// The rows of old revisions have been deleted. A new host must restore the
+// configuration from the snapshot and the rows after it.
 Test(config_snapshotter, new_host_reads_snapshot_and_rows_behind_are_deleted) {
   Platform platform;
   ConfigFollower writer(platform.codec);
@@ -241,8 +244,8 @@
   cr_assert(fresh.documents().begin()->second.revision == 50);
 }
 
-// The put of a snapshot gets no answer: it may never take effect. Were the rows
-// behind it deleted all the same, no new host could ever start.
+// A snapshot put without an answer may never take effect. If the rows before it
+// were deleted nevertheless, no new host could start.
 Test(config_snapshotter, unconfirmed_put_deletes_nothing) {
   Platform platform;
   ConfigFollower follower(platform.codec);
@@ -259,9 +262,9 @@
   cr_assert_eq(platform.rows.size(), before);
 }
 
-// While the store is out, a new host hears of revision 9 from one peer and gets
-// revision 3 from a stale one. It would serve under profiles that were replaced
-// long ago; so it isn't ready before it has the highest that it heard of.
+// During a store outage, one peer announces revision 9 to a new host and a
+// stale peer delivers revision 3. The host must not serve with outdated
+// profiles, so it is not ready until it has the highest announced revision.
 Test(config_follower, new_host_with_stale_part_only_is_not_known) {
   const JsonConfigCodec codec;
   ConfigFollower follower(codec);
--- a/packages/schema/tests/digest_size_test.cc
+++ b/packages/schema/tests/digest_size_test.cc
@@ -8,8 +8,9 @@
 
 using namespace gentianroute;
 
-// Every daemon sends and answers digests for ever. One that is as full as its
-// bounds allow decides what gossip costs, whatever the number of daemons.
+// Every daemon exchanges digests periodically. The size of a digest that is
+// filled to its bounds limits the gossip bandwidth of a daemon, independently
+// of the number of daemons.
 Test(digest, full_digest_fits_its_share_of_four_kilobytes_a_second) {
   capnp::MallocMessageBuilder message;
   auto digest = message.initRoot<schema::Digest>();
@@ -29,9 +30,10 @@
   const std::size_t bytes =
       capnp::computeSerializedSizeInWords(message) * sizeof(capnp::word);
   std::fprintf(stderr, "full digest: %zu bytes\n", bytes);
-  // Half of an exchange's call, return and finish messages, as an allowance.
+  // Allowance for half of the RPC call, return and finish messages of an
+  // exchange.
   constexpr double kFraming = 128;
-  // An exchange begun and one answered each second, and for 0.32 changes a
-  // second a rumour to two peers and from two: 2 + 0.32 * 4 digests.
+  // Per second: one exchange started and one answered, and for each of 0.32
+  // changes a push to two peers and from two peers, 2 + 0.32 * 4 digests.
   cr_assert((static_cast<double>(bytes) + kFraming) * (2 + 0.32 * 4) < 4096);
 }
--- a/packages/schema/tests/lease_test.cc
+++ b/packages/schema/tests/lease_test.cc
@@ -13,7 +13,7 @@
   return TimePoint{} + seconds(second);
 }
 
-/// The lease's row, and two daemons that want it.
+/// The lease row and two daemons that compete for the lease.
 struct Fixture {
   JsonLeaseCodec codec;
   LeaseKeeper first{{"p", "first/1"}, codec};
@@ -30,7 +30,7 @@
     return {TableStatus::kCommitted, {++row.version}, {}};
   }
 
-  /// Lets a daemon do all it can at one time.
+  /// Advances a keeper until it has nothing left to do at `now`.
   void Run(LeaseKeeper& keeper, TimePoint now, bool wanted = true) {
     for (Step step = keeper.Advance(now, wanted); step != Step::kNone;
          step = keeper.Advance(now, wanted)) {
@@ -49,9 +49,9 @@
 
 }  // namespace
 
-// The holder is paused in the middle of its work. Another daemon takes over
-// after the lease and the longest order. The first wakes up and must find by
-// its own clock that it may not send.
+// The holder is paused. Another daemon takes over once the lease duration and
+// the maximum duration of an order have passed. After resuming, the first
+// daemon must detect by its own clock that it may no longer send.
 Test(lease, paused_holder_finds_its_lease_lapsed) {
   Fixture fixture;
   fixture.Run(fixture.first, At(0));
@@ -69,9 +69,9 @@
   cr_assert(!fixture.first.held());
 }
 
-// An order is decided, the holder is paused, loses the lease to another daemon
-// and wins it again. Written now, the old order would undo what the other has
-// ordered in between. Found by random_config, seed 8.
+// After deciding an order, the holder is paused, loses the lease to another
+// daemon and acquires it again. Writing the old order then would undo the other
+// daemon's orders. Found by random_config, seed 8.
 Test(lease, order_of_an_earlier_term_is_void) {
   Fixture fixture;
   fixture.Run(fixture.first, At(0));
@@ -86,8 +86,9 @@
   cr_assert(!fixture.first.MaySend(At(14), decided));
 }
 
-// The answer to a renewal comes six seconds late. Others count from the write,
-// not from the answer: the holder must too.
+// The answer to a renewal arrives six seconds late. Other daemons count the
+// lease duration from the write, so the holder must not count it from the
+// answer.
 Test(lease, time_is_counted_from_before_the_renewal_was_sent) {
   Fixture fixture;
   fixture.Run(fixture.first, At(0));
@@ -98,8 +99,9 @@
   cr_assert(!fixture.first.MaySend(At(12)));
 }
 
-// An acquisition's answer is lost: the daemon may be the holder or not. It
-// sends nothing, and settles it with a new number.
+// When the answer to an acquisition is lost, the daemon does not know whether
+// it holds the lease. It must send nothing until it has acquired the lease
+// again with a new fencing number.
 Test(lease, lost_acquisition_sends_nothing_until_settled) {
   Fixture fixture;
   cr_assert(fixture.first.Advance(At(0), true) == Step::kRead);
@@ -122,9 +124,9 @@
   cr_assert(fixture.second.MaySend(At(1)));
 }
 
-// An order gets no answer; the desired state changes. A second order at once
-// could overtake the first, which would then undo it on an engine that ignores
-// the number.
+// The desired state changes while an order has no answer yet. A second order
+// sent immediately could overtake the first, which would then undo it on an
+// engine that ignores fencing numbers.
 Test(order_issuer, order_in_flight_holds_back_the_next) {
   Fixture fixture;
   fixture.Run(fixture.first, At(0));
@@ -143,10 +145,10 @@
   cr_assert_eq(issuer.Advance(At(3), fixture.first).orders.size(), 1);
 }
 
-// The holder is paused between deciding an order and writing it. What is
-// written then must count as in flight from the write, or a drain right after
-// it would give the lease back and the next holder's order be undone by it; and
-// what is too old is not written at all. Found by random_config, seed 29.
+// The holder is paused between deciding an order and writing it. The order must
+// count as in flight from the write; otherwise a drain right after it would
+// release the lease, and this order could undo one of the next holder. An order
+// that is too old must not be written at all. Found by random_config, seed 29.
 Test(order_issuer, order_counts_as_in_flight_from_its_write) {
   Fixture fixture;
   fixture.Run(fixture.first, At(0));
