--- a/packages/observe/include/gentianroute/observe/duration_histogram.h
+++ b/packages/observe/include/gentianroute/observe/duration_histogram.h
@@ -11,15 +11,16 @@
 
 namespace gentianroute {
 
-/// @brief Durations from a millisecond to a minute, in a fixed set of buckets.
+/// @brief Histogram of durations with fixed buckets from 1 ms to 60 s.
 class DurationHistogram {
  public:
   DurationHistogram();
 
+  /// @brief Adds a duration; a negative one counts as 0.
   void Add(Duration duration);
 
-  /// @brief Writes _bucket, _sum and _count, in seconds; the heading is the
-  /// caller's.
+  /// @brief Writes the _bucket, _sum and _count samples in seconds. The caller
+  /// writes the HELP and TYPE lines, see MetricWriter::AddMetric().
   void Write(MetricWriter& writer,
              std::string_view name,
              std::span<const MetricLabel> labels) const;
--- a/packages/observe/include/gentianroute/observe/log.h
+++ b/packages/observe/include/gentianroute/observe/log.h
@@ -11,22 +11,22 @@
 
 enum class LogLevel : std::uint8_t { kInfo, kWarning, kError };
 
-/// @brief How long a line is kept when lines come faster than they are read.
+/// @brief Which lines are dropped first when the log buffer fills up.
 enum class LogPriority : std::uint8_t {
-  kLow,     ///< one step on the way of a request
-  kNormal,  ///< the good end of a request
-  kHigh,    ///< a failure, or what the process believes
+  kLow,     ///< a step of a request
+  kNormal,  ///< the successful end of a request
+  kHigh,    ///< a failure or a state of the process
 };
 
-/// @brief One line, as it goes to its destination.
+/// @brief One line, as passed to the log destination.
 struct LogLine {
-  std::string_view text;  ///< without its end
+  std::string_view text;  ///< without a newline
   LogPriority priority = LogPriority::kHigh;
-  std::uint64_t request_hash = 0;  ///< the same for all lines of one request
+  std::uint64_t request_hash = 0;  ///< equal for all lines of a request; 0 for
+                                   ///< lines of no request
 };
 
-/// @brief One event as one line of key=value pairs, written when it goes out
-/// of scope.
+/// @brief One event, logged as one line of key=value pairs on destruction.
 ///
 /// @example LogEvent("drain_begun").Field("active", 3);
 class LogEvent {
@@ -36,9 +36,9 @@
   LogEvent(const LogEvent&) = delete;
   LogEvent& operator=(const LogEvent&) = delete;
 
-  /// @brief Says which request the line is about, and adds its id.
+  /// @brief Assigns the line to a request: adds its id and sets the priority.
   LogEvent& ForRequest(std::string_view request, LogPriority priority);
-  /// @brief Adds a pair; a value with spaces or quotes is quoted.
+  /// @brief Adds a pair; the value is quoted if necessary, see QuoteLogValue().
   LogEvent& Field(std::string_view key, std::string_view value);
   LogEvent& Field(std::string_view key, const char* value) {
     return Field(key, std::string_view(value));
@@ -57,16 +57,18 @@
   std::string line_;
 };
 
-/// @brief Sends log lines to stderr without glog's own prefix.
+/// @brief Initialises glog to write lines to stderr without a prefix of its
+/// own.
 void InitialiseLogging(const char* program);
 
 using LogDestination = std::function<void(const LogLine&)>;
 
-/// @brief Sends whole lines elsewhere than to stderr.
-/// @param destination null: back to stderr
+/// @brief Replaces stderr as the destination of all log lines.
+/// @param destination null restores stderr
 void SetLogDestination(LogDestination destination);
 
-/// @brief The value as it stands in a line.
+/// @brief Quotes and escapes a value that is empty or has white space, quotes,
+/// `=` or backslashes; returns any other value unchanged.
 std::string QuoteLogValue(std::string_view value);
 
 }  // namespace gentianroute
--- a/packages/observe/include/gentianroute/observe/log_buffer.h
+++ b/packages/observe/include/gentianroute/observe/log_buffer.h
@@ -10,25 +10,27 @@
 
 namespace gentianroute {
 
-/// @brief Lines that wait to be written, in a bounded number of bytes.
+/// @brief Bounded buffer of log lines that are not written yet.
 ///
-/// Load pattern: a reader that is slower than the lines come, as at several
-/// times the usual load or while it stands still. Dropped at random, lines
-/// would leave every request half told. So the fuller the buffer, the fewer
-/// requests are told, each of them whole, and what tells of failures goes last.
+/// It fills when lines are produced faster than they are read, as at several
+/// times the usual load or while the reader is stopped. Dropping lines at
+/// random would leave the log of every request incomplete. Instead, as the
+/// buffer fills, lines of fewer and fewer requests are kept, complete for a
+/// sample of them, and lines about failures are dropped last.
 class LogBuffer {
  public:
   explicit LogBuffer(std::size_t max_bytes) : max_bytes_(max_bytes) {}
 
-  /// @brief Takes a line, or counts it as dropped.
+  /// @brief Appends a line, or drops and counts it.
   void Add(const LogLine& line);
-  /// @brief What waits, each line with its end.
+  /// @brief Unwritten lines, each with a newline.
   std::string_view pending() const { return pending_; }
-  /// @brief The first bytes of what waits have been written.
+  /// @brief Removes the first `bytes` bytes, which have been written.
   void OnWritten(std::size_t bytes) { pending_.erase(0, bytes); }
 
+  /// @brief Number of lines dropped in total.
   std::uint64_t dropped() const { return dropped_; }
-  /// @brief Lines dropped since the last call.
+  /// @brief Number of lines dropped since the last call.
   std::uint64_t TakeDropped();
 
  private:
--- a/packages/observe/include/gentianroute/observe/log_output.h
+++ b/packages/observe/include/gentianroute/observe/log_output.h
@@ -9,14 +9,15 @@
 
 namespace gentianroute {
 
-/// @brief Takes log lines to standard output without ever waiting for it.
+/// @brief Writes log lines to a descriptor without ever blocking.
 ///
-/// Whoever reads the output may stop for a while; a write would then block the
-/// one thread, and with it every request. Lines wait in a `LogBuffer` instead.
-/// How many were dropped is told once there is room again.
+/// If the reader of the output stops, a blocking write would stall the daemon's
+/// only thread and so every request. Lines are kept in a `LogBuffer` instead,
+/// and the number of dropped lines is logged once the buffer has been written
+/// out.
 class LogOutput {
  public:
-  /// @brief Becomes the destination of LogEvent until destroyed.
+  /// @brief Replaces the destination of LogEvent until destroyed.
   /// @param descriptor a pipe or a file
   explicit LogOutput(EventLoop& loop, int descriptor);
   ~LogOutput();
--- a/packages/observe/include/gentianroute/observe/log_timeline.h
+++ b/packages/observe/include/gentianroute/observe/log_timeline.h
@@ -10,33 +10,36 @@
 
 namespace gentianroute {
 
-/// @brief One log line, taken apart.
+/// @brief One parsed log line.
 struct ParsedLogLine {
-  std::string source;  ///< the file, and what stands before the line in it
+  std::string source;  ///< file name, and any prefix before `time=`
   std::string time;
   std::string event;
-  std::vector<std::pair<std::string, std::string>> fields;  ///< all others
-  std::string text;                                         ///< as it stood
+  std::vector<std::pair<std::string, std::string>> fields;  ///< other fields
+  std::string text;  ///< without the prefix
 
   /// @return the field's value; empty if there is none
   std::string_view Value(std::string_view name) const;
 };
 
-/// @brief Takes a line of key=value pairs apart; what stands before `time=`
-/// belongs to its source.
-/// @return nothing if it is no such line
+/// @brief Parses a line of key=value pairs; text before `time=` becomes part of
+/// the source.
+/// @return nothing if the line has no `time` or no `event`
 std::optional<ParsedLogLine> ParseLogLine(std::string_view source,
                                           std::string_view line);
 
-/// @brief What the lines of several daemons say of one request.
+/// @brief The course of one request, from the log lines of several daemons.
 struct RequestDiagnosis {
-  std::vector<ParsedLogLine> steps;  ///< in the order of their times
-  std::size_t decisive = 0;          ///< of `steps`; meaningless if none
-  std::string cause;                 ///< in plain words
-  std::vector<std::string> missing;  ///< what the lines don't tell, and why
+  std::vector<ParsedLogLine> steps;  ///< sorted by time
+  /// Index in `steps` of the line that explains the outcome; unused if there
+  /// are no steps.
+  std::size_t decisive = 0;
+  std::string cause;                 ///< explanation as full sentences
+  std::vector<std::string> missing;  ///< gaps in the log and their reasons
 };
 
-/// @brief Collects the lines about one request and finds why it ended so.
+/// @brief Collects the log lines of one request and determines the cause of its
+/// outcome.
 ///
 /// @example
 /// LogTimeline timeline("9c41d07be2a35f68");
@@ -46,13 +49,18 @@
  public:
   explicit LogTimeline(std::string request) : request_(std::move(request)) {}
 
+  /// @brief Keeps a line if it is about the request or may explain it.
+  /// @param source name of the file or daemon
   void Add(std::string_view source, std::string_view line);
+  /// @brief Diagnoses the request from the lines added so far.
   RequestDiagnosis Diagnose() const;
 
  private:
   bool IsAbout(const ParsedLogLine& line) const;
-  /// News of servers, schedulers and lost lines, that may explain a step.
+  /// Whether a line of another subject may explain a step: a server that is not
+  /// open, a daemon start or dropped log lines.
   static bool IsContext(const ParsedLogLine& line);
+  /// Extends the cause and the missing lines by what the context lines explain.
   void AddContext(RequestDiagnosis& diagnosis) const;
 
   std::string request_;
--- a/packages/observe/include/gentianroute/observe/metric_writer.h
+++ b/packages/observe/include/gentianroute/observe/metric_writer.h
@@ -15,9 +15,11 @@
 
 /// @brief Writes the Prometheus text format, version 0.0.4.
 ///
-/// All samples of a metric follow its one heading, as the format demands.
+/// As the format requires, a metric's HELP and TYPE lines come once, directly
+/// before all of its samples.
 class MetricWriter {
  public:
+  /// @brief Starts a metric: writes its HELP and TYPE lines.
   /// @param type `counter`, `gauge` or `histogram`
   void AddMetric(std::string_view name,
                  std::string_view type,
@@ -39,7 +41,7 @@
   std::string text_;
 };
 
-/// @brief A number in its shortest form that reads back as the same.
+/// @brief Shortest decimal form that parses back to the same value.
 std::string FormatMetricNumber(double value);
 
 }  // namespace gentianroute
--- a/packages/observe/include/gentianroute/observe/request_metrics.h
+++ b/packages/observe/include/gentianroute/observe/request_metrics.h
@@ -14,10 +14,11 @@
 
 namespace gentianroute {
 
-/// @brief What stands for every name that is not declared.
+/// @brief Label value that replaces every undeclared name.
 inline constexpr std::string_view kOtherLabel = "other";
 
-/// @brief Labels of one set of series; `stage` is empty for whole requests.
+/// @brief Labels of one set of time series; `stage` is empty for whole
+/// requests.
 struct RequestLabels {
   std::string service;
   std::string profile;
@@ -26,7 +27,7 @@
   friend auto operator<=>(const RequestLabels&, const RequestLabels&) = default;
 };
 
-/// @brief Whole requests of one service under one profile.
+/// @brief Metrics of the requests of one service under one profile.
 struct RequestSeries {
   DurationHistogram latency;
   DurationHistogram first_token;
@@ -35,7 +36,7 @@
   std::map<ErrorKind, std::uint64_t> errors;
 };
 
-/// @brief One stage of one service under one profile.
+/// @brief Metrics of one stage of one service under one profile.
 struct StageSeries {
   DurationHistogram queueing;
   DurationHistogram latency;
@@ -49,10 +50,10 @@
 
 /// @brief Metrics of finished requests.
 ///
-/// Memory is bounded whatever callers send: only declared names become labels,
-/// and no more than `max_label_sets` sets of them; the rest goes under `other`.
-/// Without that, callers who try names at random fill the daemon's memory and
-/// the monitoring's too.
+/// Memory is bounded regardless of what callers send: only declared names
+/// become labels, and at most `max_label_sets` sets of them; all others are
+/// counted under `other`. Otherwise callers who try random names could exhaust
+/// the memory of the daemon and of the monitoring system.
 class RequestMetrics {
  public:
   struct Options {
@@ -62,7 +63,7 @@
   RequestMetrics() : RequestMetrics(Options{}) {}
   explicit RequestMetrics(Options options) : options_(options) {}
 
-  /// @brief Names declared from now on.
+  /// @brief Sets the declared names, which are used as labels from now on.
   void SetCatalogue(CatalogueRef catalogue) {
     catalogue_ = std::move(catalogue);
   }
@@ -75,7 +76,7 @@
   const std::map<RequestLabels, StageSeries>& stages() const { return stages_; }
   std::size_t label_sets() const { return requests_.size() + stages_.size(); }
 
-  /// @return the name if it is declared, else `other`
+  /// @return the name if it is declared, otherwise `other`
   std::string_view ServiceLabel(std::string_view service) const;
 
  private:
@@ -94,7 +95,7 @@
   std::map<RequestLabels, StageSeries> stages_;
 };
 
-/// @brief Writes what the coordinator has counted.
+/// @brief Writes the coordinator's counters as metrics.
 void WriteCounters(MetricWriter& writer, const CoordinatorCounters& counters);
 
 }  // namespace gentianroute
--- a/packages/observe/include/gentianroute/observe/service_level.h
+++ b/packages/observe/include/gentianroute/observe/service_level.h
@@ -20,21 +20,25 @@
   std::uint64_t total = 0;
   std::uint64_t attained = 0;  ///< answered whole within their deadline
 
-  /// @return from 0 to 1; 1 if there were none
+  /// @return attained requests as a share from 0 to 1; 1 if there were none
   double Share() const;
-  /// @brief How fast the error budget is spent: 1 spends exactly all of it.
+  /// @brief Rate at which the error budget is spent; a rate of 1 spends exactly
+  /// the whole budget.
   /// @param target share of requests to be attained, from 0 to 1
-  /// @return 0 if none failed; with a target of 1 the budget is taken as 1e-6
+  /// @return 0 if no request failed; for a target of 1, the budget is taken as
+  /// 1e-6 to avoid a division by zero
   double BurnRate(double target) const;
 };
 
-/// @brief Whether a request that ended so counts: the caller's own mistakes do
-/// not.
+/// @brief Whether a request with this outcome counts towards the service level;
+/// errors made by the caller do not.
+/// @param error empty for an answered request
 bool CountsForServiceLevel(std::optional<ErrorKind> error);
 
-/// @brief Sums over the last part of time, in a ring of equal slots.
+/// @brief Sums over a sliding window of time, in a ring buffer of time slots of
+/// equal length.
 ///
-/// @tparam kSlots number of slots; memory is fixed
+/// @tparam kSlots number of slots, which fixes the memory
 template <std::size_t kSlots>
 class AttainmentRing {
  public:
@@ -49,7 +53,7 @@
     slot.sum.attained += attained ? 1 : 0;
   }
 
-  /// @brief A slot that has something in it.
+  /// @brief A slot that is not empty.
   struct ExportedSlot {
     std::int64_t number = 0;
     Attainment sum;
@@ -64,8 +68,8 @@
     return exported;
   }
 
-  /// @brief Adds what an earlier process counted; what has left the ring by
-  /// `now`, or lies after it, is passed over.
+  /// @brief Adds a slot exported by an earlier process; ignores slots that are
+  /// older than the ring or later than `now`.
   void Import(TimePoint now, const ExportedSlot& earlier) {
     const std::int64_t newest = SlotNumber(now);
     const std::int64_t oldest = newest - static_cast<std::int64_t>(kSlots) + 1;
@@ -81,7 +85,8 @@
     slot.sum.attained += earlier.sum.attained;
   }
 
-  /// @param window at most kSlots slots long; the slot at hand counts whole
+  /// @param window at most kSlots slots long; the current, incomplete slot
+  /// counts as one
   /// @complexity linear in the slots
   Attainment Sum(TimePoint now, Duration window) const {
     const std::int64_t newest = SlotNumber(now);
@@ -98,7 +103,7 @@
 
  private:
   struct Slot {
-    std::int64_t number = -1;  ///< counted from time zero; -1: unused
+    std::int64_t number = -1;  ///< slots since time zero; -1: unused
     Attainment sum;
   };
 
@@ -112,17 +117,18 @@
 
 /// @brief Attainment of each service over several windows.
 ///
-/// Two short windows show a fast burn, two long ones a slow burn. Hosts keep
-/// nothing, so the long ones are saved by Export() and taken over by Import().
-/// Times are wall-clock times since the Unix epoch here, unlike elsewhere:
-/// slots of one process must mean the same to the next.
+/// The two short windows reveal a fast burn of the error budget, the two long
+/// ones a slow burn. Hosts have no persistent storage, so Export() and Import()
+/// carry the long windows from one process to the next. Unlike elsewhere, times
+/// here are wall-clock times since the Unix epoch, so that slot numbers mean
+/// the same to the next process.
 class ServiceLevels {
  public:
   static constexpr std::array<Duration, 4> kWindows = {
       std::chrono::minutes(5), std::chrono::hours(1), std::chrono::hours(6),
       std::chrono::hours(72)};
 
-  /// @param service a declared name, or the label for the others
+  /// @param service a declared name, or kOtherLabel
   void Observe(TimePoint now, std::string_view service, bool attained);
 
   struct Service {
@@ -130,13 +136,13 @@
     Attainment since_start;
     std::array<Attainment, kWindows.size()> windows;
   };
-  /// @brief The slots of the long windows as JSON.
+  /// @brief Serialises the slots of the long windows as JSON.
   std::string Export() const;
-  /// @brief Takes over what an earlier process of this host exported.
-  /// @return false if the text can't be read; nothing is taken then
+  /// @brief Adds the slots that an earlier process of this host exported.
+  /// @return false if the text is invalid; nothing is added in that case
   bool Import(TimePoint now, std::string_view text);
 
-  /// @return one record a service, by name
+  /// @return one record per service, sorted by name
   std::vector<Service> Report(TimePoint now) const;
 
  private:
--- a/packages/observe/src/duration_histogram.cc
+++ b/packages/observe/src/duration_histogram.cc
@@ -17,8 +17,8 @@
      milliseconds(5000), milliseconds(10'000), milliseconds(30'000),
      milliseconds(60'000)});
 
-/// The library's bins exclude their upper edge and the text format's buckets
-/// include it, so each edge lies one microsecond above its bound.
+/// Boost.Histogram bins exclude their upper edge but Prometheus buckets include
+/// it, so each edge lies one microsecond above its bound.
 std::vector<double> BinEdges() {
   std::vector<double> edges = {0};
   for (const Duration bound : kUpperBounds) {
--- a/packages/observe/src/log_buffer.cc
+++ b/packages/observe/src/log_buffer.cc
@@ -6,16 +6,17 @@
 namespace gentianroute {
 namespace {
 
-/// Shares of the buffer up to which lines of one weight are kept.
+/// Fill levels, as shares of the buffer, up to which lines of one priority are
+/// kept.
 struct FillLimits {
-  double all;      ///< of every request
-  double sampled;  ///< of the sampled ones only
+  double all;      ///< for all requests
+  double sampled;  ///< for sampled requests
 };
 /// By LogPriority. A request's end is kept for longer than what led to it, as
 /// it names the outcome, and a failure's for longer than a success's.
 constexpr std::array<FillLimits, 3> kFillLimits = {
     {{0.5, 0.8}, {0.7, 0.9}, {1.0, 1.0}}};
-/// One request in so many is told while the buffer fills.
+/// One in this many requests is sampled.
 constexpr std::uint64_t kSampleEvery = 8;
 
 }  // namespace
--- a/packages/observe/src/log_output.cc
+++ b/packages/observe/src/log_output.cc
@@ -12,7 +12,7 @@
 namespace gentianroute {
 namespace {
 
-/// Some seconds of lines at several times the usual load.
+/// Holds the lines of some seconds at several times the usual load.
 constexpr std::size_t kMaxBufferedBytes = 512 * 1024;
 constexpr Duration kFlushInterval = std::chrono::milliseconds(100);
 
@@ -36,7 +36,8 @@
 }
 
 void LogOutput::Flush() {
-  // A pipe that is ready takes PIPE_BUF bytes without blocking.
+  // A pipe that poll() reports as writable accepts PIPE_BUF bytes without
+  // blocking.
   const std::string_view pending = buffer_.pending();
   std::size_t written = 0;
   while (written < pending.size() && IsWritable(descriptor_)) {
--- a/packages/observe/src/log_timeline.cc
+++ b/packages/observe/src/log_timeline.cc
@@ -9,7 +9,8 @@
 
 constexpr std::string_view kTimePrefix = "time=";
 
-/// Reads one `key=value` from the front of a text.
+/// Parses one `key=value` pair and removes it from the front of `text`.
+/// @return false if no pair is left
 bool ParseField(std::string_view& text, std::string& key, std::string& value) {
   const std::size_t from = text.find_first_not_of(' ');
   const std::size_t equals = text.find('=', from);
@@ -35,10 +36,11 @@
   return true;
 }
 
-bool ListContains(std::string_view list, std::string_view request) {
+/// Whether a comma-separated list contains `item`.
+bool ListContains(std::string_view list, std::string_view item) {
   while (!list.empty()) {
     const std::size_t end = std::min(list.find(','), list.size());
-    if (list.substr(0, end) == request) {
+    if (list.substr(0, end) == item) {
       return true;
     }
     list.remove_prefix(std::min(end + 1, list.size()));
@@ -46,18 +48,19 @@
   return false;
 }
 
-/// What an outcome means, in words for whoever is on call.
+/// Explanation of an outcome for the engineer on call.
 struct OutcomeDescription {
   std::string_view outcome;
   std::string_view description;
 };
 constexpr std::array kOutcomeDescriptions = {
-    OutcomeDescription{"answered", "It was answered; nothing failed."},
-    OutcomeDescription{"caller_gone",
-                       "Its caller closed the connection before the end."},
+    OutcomeDescription{"answered", "The request was answered; nothing failed."},
+    OutcomeDescription{
+        "caller_gone",
+        "The caller closed the connection before the answer was complete."},
     OutcomeDescription{
         "server_failure",
-        "The server itself answered with a failure, which was passed on."},
+        "The server answered with a failure, which was passed on."},
     OutcomeDescription{
         "overloaded",
         "It was refused and has not run: its work could not be done while "
@@ -68,31 +71,33 @@
         "time."},
     OutcomeDescription{
         "deadline_before_start",
-        "Its time was over before its server was asked; it has not run."},
+        "The deadline passed before a server was called; the request has not "
+        "run."},
     OutcomeDescription{
         "deadline_exceeded",
-        "Its time was over while a server had it; the server was too slow "
-        "or silent."},
+        "The deadline passed while a server was processing the request; "
+        "the server was too slow or did not respond."},
     OutcomeDescription{
         "outcome_unknown",
-        "Its server broke the connection; it may have run, and may not be "
-        "sent again."},
+        "The connection to the server broke; the request may have run, so it "
+        "was not sent again."},
     OutcomeDescription{
         "stream_broken",
-        "Its stream broke after it had begun, and could not go on "
-        "elsewhere."},
-    OutcomeDescription{"no_server",
-                       "No server could take it or one of its stages."},
+        "The stream broke after it had started and could not be resumed "
+        "on another server."},
+    OutcomeDescription{
+        "no_server",
+        "No server was available for the request or one of its stages."},
     OutcomeDescription{"unauthorised",
-                       "Its key belonged to nobody in the configuration "
+                       "The API key was unknown in the configuration "
                        "that was in force."},
     OutcomeDescription{"unknown_service",
-                       "No route of the configuration that was in "
-                       "force has its host and path."},
+                       "No route in the configuration that was in "
+                       "force matches its host and path."},
     OutcomeDescription{"not_ready",
-                       "The daemon did not know the configuration yet."},
+                       "The daemon had not loaded a configuration yet."},
     OutcomeDescription{"shutting_down", "The daemon was stopping."},
-    OutcomeDescription{"malformed_request", "It had no id."},
+    OutcomeDescription{"malformed_request", "The request had no id."},
 };
 
 std::string DescribeOutcome(std::string_view outcome) {
@@ -103,7 +108,7 @@
                                                          : found->description);
 }
 
-/// The last step with an event, before a position.
+/// Index of the last step with `event` before index `before`.
 std::optional<std::size_t> FindLastBefore(
     const std::vector<ParsedLogLine>& steps,
     std::size_t before,
@@ -116,7 +121,8 @@
   return std::nullopt;
 }
 
-/// A stage that was handed out and did not end, before a position.
+/// Index of the last stage_handed step before index `before` whose stage did
+/// not end successfully until then.
 std::optional<std::size_t> FindUnfinishedStage(
     const std::vector<ParsedLogLine>& steps,
     std::size_t before) {
@@ -144,7 +150,8 @@
   return std::string(line.Value(field));
 }
 
-/// Adds what the steps before the end say of its cause.
+/// Extends the cause with the unfinished stage, or else the last server, found
+/// in the steps before the end.
 void AddCauseDetails(RequestDiagnosis& diagnosis, std::size_t end) {
   const ParsedLogLine& last = diagnosis.steps[end];
   const std::string_view outcome = last.Value("outcome");
@@ -165,7 +172,7 @@
   if (const auto sent = FindLastBefore(diagnosis.steps, end, "request_sent")) {
     const ParsedLogLine& line = diagnosis.steps[*sent];
     diagnosis.decisive = *sent;
-    diagnosis.cause += " The last server that had it was " +
+    diagnosis.cause += " The last server it was sent to was " +
                        StringValue(line, "server") + " in " +
                        StringValue(line, "data_centre") + ", with " +
                        StringValue(line, "server_calls") + " other calls.";
@@ -243,9 +250,10 @@
       diagnosis.steps.begin(), diagnosis.steps.end(),
       [](const auto& a, const auto& b) { return a.time < b.time; });
   if (diagnosis.steps.empty()) {
-    diagnosis.cause = "No line is about this request.";
+    diagnosis.cause = "No log line mentions this request.";
     diagnosis.missing.emplace_back(
-        "Either no daemon of these files had it, or its lines were dropped.");
+        "Either no daemon of these files received the request, or its lines "
+        "were dropped.");
     AddContext(diagnosis);
     return diagnosis;
   }
@@ -254,8 +262,8 @@
   if (!end) {
     diagnosis.decisive = diagnosis.steps.size() - 1;
     diagnosis.cause =
-        "Its end is not told: its daemon died, the line was dropped, "
-        "or it goes on.";
+        "The end of the request is not logged: its daemon stopped, the line "
+        "was dropped, or the request is still running.";
     diagnosis.missing.emplace_back("no request_end line");
   } else {
     diagnosis.decisive = *end;
@@ -268,8 +276,8 @@
   if (!FindLastBefore(diagnosis.steps, diagnosis.steps.size(),
                       "request_admitted")) {
     diagnosis.missing.emplace_back(
-        "no request_admitted line: it was refused on arrival, or it was not "
-        "among the sampled requests");
+        "no request_admitted line: the request was refused on arrival, or it "
+        "was not among the sampled requests");
   }
   AddContext(diagnosis);
   return diagnosis;
@@ -293,7 +301,7 @@
       const std::string note = " That server was seen as " +
                                StringValue(line, "state") + " at " + line.time +
                                ".";
-      // Every daemon tells of it; once is enough.
+      // Each daemon logs the same server state; mention it once.
       if (diagnosis.cause.find(" That server was seen as ") ==
           std::string::npos) {
         diagnosis.cause += note;
@@ -303,7 +311,7 @@
                            line.source == decisive.source &&
                            line.time > diagnosis.steps.front().time;
     if (restarted && diagnosis.steps.back().event != "request_end") {
-      diagnosis.cause += " Its daemon started anew at " + line.time + ".";
+      diagnosis.cause += " Its daemon restarted at " + line.time + ".";
     }
   }
 }
--- a/packages/observe/src/request_metrics.cc
+++ b/packages/observe/src/request_metrics.cc
@@ -18,7 +18,7 @@
   return list;
 }
 
-/// A metric that is one number of each series.
+/// A counter metric with one sample per series.
 template <typename Series>
 struct SeriesCounterMetric {
   std::string_view name;
--- a/packages/observe/src/service_level.cc
+++ b/packages/observe/src/service_level.cc
@@ -22,7 +22,8 @@
 }
 
 bool CountsForServiceLevel(std::optional<ErrorKind> error) {
-  // The numbers below are the caller's mistakes: no daemon could answer them.
+  // Error kinds with lower numbers are errors of the caller, such as a
+  // malformed request, which no daemon could answer.
   return !error.has_value() || *error >= kFirstServerSideError;
 }
 
--- a/packages/observe/tests/log_buffer_test.cc
+++ b/packages/observe/tests/log_buffer_test.cc
@@ -12,7 +12,7 @@
 constexpr std::uint64_t kSampled = 0;
 constexpr std::uint64_t kNotSampled = 1;
 
-/// A buffer that is filled to a share.
+/// A buffer that can be filled to a given share.
 struct BufferFixture {
   LogBuffer buffer{kBytes};
 
@@ -36,8 +36,8 @@
   cr_assert(fixture.buffer.pending() == "line\nline\n");
 }
 
-// Load: lines come at several times the rate at which they are read. Whoever
-// looks for one of the requests that are told finds all of its lines.
+// While lines come faster than they are read, the log of a sampled request must
+// stay complete.
 Test(log_buffer, sampled_requests_stay_whole_while_it_fills) {
   BufferFixture fixture;
   fixture.FillTo(0.75);
--- a/packages/observe/tests/log_output_test.cc
+++ b/packages/observe/tests/log_output_test.cc
@@ -12,7 +12,7 @@
 
 namespace {
 
-/// A pipe whose reader reads only when the test says so.
+/// A pipe that is read only by ReadSome().
 struct PipeFixture {
   EventLoop loop;
   int ends[2] = {-1, -1};
@@ -38,9 +38,9 @@
 
 }  // namespace
 
-// Whoever reads the output stops. Without a buffer the daemon would stand still
-// in its next write, and with it every request. It goes on; what does not fit
-// is counted, and told once the reader is back.
+// The reader of the log output stops. Without a buffer, the next write would
+// block the daemon and every request. The daemon must continue, count the lines
+// that do not fit, and log their number once the reader continues.
 Test(log_output, reader_that_stops_holds_nothing_up) {
   PipeFixture fixture;
   const LogOutput output(fixture.loop, fixture.ends[1]);
--- a/packages/observe/tests/log_timeline_test.cc
+++ b/packages/observe/tests/log_timeline_test.cc
@@ -18,7 +18,7 @@
     "server=m-1 data_centre=north server_calls=3 server_tokens=9000 "
     "score_ms=40 left_ms=5500";
 
-/// Lines of two daemons about one request.
+/// Timeline of request r1, and a helper that adds its end.
 struct TimelineFixture {
   LogTimeline timeline{"r1"};
 
@@ -68,8 +68,8 @@
   cr_assert(diagnosis.steps[2].event == "request_sent");
 }
 
-// A caller is refused after 0.9 s. The stage that it waited for was never
-// reported as done, so that stage is named and not the refusal.
+// A request is refused after 0.9 s. The stage that it waited for was never
+// reported as done, so the cause must name that stage rather than the refusal.
 Test(log_timeline, stage_that_did_not_end_is_named_as_the_cause) {
   TimelineFixture fixture;
   fixture.timeline.Add("edge-1", kAdmitted);
@@ -79,8 +79,8 @@
   cr_assert(fixture.CauseContains("'edge-2'"));
 }
 
-// A stream breaks because its server crashed; another daemon's line of the host
-// list tells it.
+// A stream breaks because its server crashed, which only a server_seen line of
+// another daemon shows.
 Test(log_timeline, server_that_is_gone_is_named_for_a_broken_stream) {
   TimelineFixture fixture;
   fixture.timeline.Add("edge-1", kAdmitted);
@@ -101,14 +101,15 @@
   cr_assert_eq(diagnosis.missing.size(), 1);
 }
 
-// The daemon was killed: its lines end in the middle of the request.
+// The daemon was killed, so its log ends in the middle of the request.
 Test(log_timeline, daemon_that_started_anew_explains_a_missing_end) {
   TimelineFixture fixture;
   fixture.timeline.Add("edge-1", kAdmitted);
   fixture.timeline.Add("edge-1",
                        "time=2026-12-03T01:00:03.000Z level=info event=started "
                        "daemon=edge-1");
-  cr_assert(fixture.CauseContains("started anew"));
+  cr_assert(
+      fixture.CauseContains("daemon restarted at 2026-12-03T01:00:03.000Z"));
   cr_assert_geq(fixture.timeline.Diagnose().missing.size(), 1);
 }
 
--- a/packages/observe/tests/request_metrics_test.cc
+++ b/packages/observe/tests/request_metrics_test.cc
@@ -21,8 +21,8 @@
 
 using LabelMap = std::map<std::string, std::string>;
 
-/// A strict reader of the Prometheus text format 0.0.4. Anything that it does
-/// not expect is an error.
+/// Strict parser of the Prometheus text format 0.0.4 that reports any
+/// unexpected input as an error.
 class MetricReader {
  public:
   explicit MetricReader(const std::string& text) : text_(text) {
@@ -272,9 +272,9 @@
   cr_expect_eq(bucket("+Inf"), 3);
 }
 
-// Callers try names at random: each would become a series that is kept for
-// ever, until the daemon and the monitoring run out of memory. Only declared
-// names may become labels, and not even those without bound.
+// Callers who try random names must not create time series: each would be kept
+// forever and exhaust the memory of the daemon and the monitoring system. Only
+// declared names become labels, up to a maximum number.
 Test(request_metrics, names_that_nobody_declared_share_one_series) {
   RequestMetrics metrics;
   metrics.SetCatalogue(Declared());
@@ -302,7 +302,7 @@
   for (int i = 0; i < 100; ++i) {
     metrics.Observe(Finished("s" + std::to_string(i)));
   }
-  // The two sets of `other` come on top of the cap.
+  // The two sets labelled `other` are not counted against the maximum.
   cr_expect_eq(metrics.label_sets(), 12U);
   cr_expect_eq(
       Read(metrics).Value("gentianroute_answers_total",
--- a/packages/observe/tests/service_level_test.cc
+++ b/packages/observe/tests/service_level_test.cc
@@ -37,9 +37,9 @@
   cr_expect(CountsForServiceLevel(std::nullopt));
 }
 
-// An outage of one minute: ten requests fail, then all is well again. The
-// short window must forget it and the longer ones still show it, each until its
-// own end; a ring that reuses a slot must not count what stood there before.
+// Ten requests fail during a short outage. Each window must show the failures
+// until its own length has passed, and a reused slot of the ring must not count
+// its previous content.
 Test(service_level, failures_leave_each_window_at_its_own_end) {
   ServiceLevels levels;
   for (int i = 0; i < 10; ++i) {
@@ -67,9 +67,9 @@
   cr_expect_eq(again.windows[3].total, 1U);
 }
 
-// A host is replaced: the next process of its name goes on from what was saved.
-// What the long windows show is the sum; what has left them stays out, and text
-// that can't be read changes nothing.
+// When a host is replaced, the next process of that name continues from the
+// saved history. The long windows show the sum of both processes without slots
+// that have expired; invalid text changes nothing.
 Test(service_level_history, next_process_adds_what_the_last_one_saved) {
   ServiceLevels first;
   first.Observe(At(hours(1)), "drafts", false);
--- a/packages/schema/schema/cluster.capnp
+++ b/packages/schema/schema/cluster.capnp
@@ -38,7 +38,7 @@
   draining @5 :Bool;
   deploymentVersion @6 :UInt64;       # version of the row in the store
   serversVersion @7 :UInt64;          # newest change in the host list
-  storeContact @8 :UInt8;             # 0: not in use, 1: answers, 2: no answer
+  storeContact @8 :UInt8;             # 0: not asked, 1: answers, 2: no answer
   work @9 :List(ServerWork);
   backlogs @10 :List(StageBacklog);
   quarantined @11 :List(Peer.Quarantine);
