--- a/packages/observe/tests/log_timeline_test.cc
+++ b/packages/observe/tests/log_timeline_test.cc
@@ -35,7 +35,7 @@
 
 }  // namespace
 
-Test(log_timeline, quoted_values_are_read_whole) {
+Test(log_timeline, quoted_values_are_unescaped) {
   const auto line = ParseLogLine(
       "edge-1",
       "12.5 s edge-1: time=T level=info event=x detail=\"a \\\"b\\\" c\" n=1");
@@ -45,12 +45,12 @@
   cr_assert(line->source == "edge-1 12.5 s edge-1:");
 }
 
-Test(log_timeline, other_lines_are_none) {
+Test(log_timeline, other_lines_are_rejected) {
   cr_assert_not(ParseLogLine("f", "listening").has_value());
   cr_assert_not(ParseLogLine("f", "time=now").has_value());
 }
 
-Test(log_timeline, lines_of_several_daemons_stand_in_the_order_of_time) {
+Test(log_timeline, lines_of_several_daemons_are_sorted_by_time) {
   TimelineFixture fixture;
   fixture.timeline.Add("edge-1", kSent);
   fixture.timeline.Add(
@@ -70,7 +70,7 @@
 
 // A request is refused after 0.9 s. The stage that it waited for was never
 // reported as done, so the cause must name that stage rather than the refusal.
-Test(log_timeline, stage_that_did_not_end_is_named_as_the_cause) {
+Test(log_timeline, unfinished_stage_is_named_as_the_cause) {
   TimelineFixture fixture;
   fixture.timeline.Add("edge-1", kAdmitted);
   fixture.timeline.Add("edge-1", kHandedOut);
@@ -81,7 +81,7 @@
 
 // A stream breaks because its server crashed, which only a server_seen line of
 // another daemon shows.
-Test(log_timeline, server_that_is_gone_is_named_for_a_broken_stream) {
+Test(log_timeline, lost_server_is_named_for_a_broken_stream) {
   TimelineFixture fixture;
   fixture.timeline.Add("edge-1", kAdmitted);
   fixture.timeline.Add("edge-1", kSent);
@@ -93,7 +93,7 @@
   cr_assert(fixture.CauseContains("seen as gone"));
 }
 
-Test(log_timeline, refusal_on_arrival_is_told_as_one) {
+Test(log_timeline, refusal_on_arrival_is_reported_as_not_run) {
   TimelineFixture fixture;
   fixture.End("overloaded", "the stages can't be done in time");
   const RequestDiagnosis diagnosis = fixture.timeline.Diagnose();
@@ -102,7 +102,7 @@
 }
 
 // The daemon was killed, so its log ends in the middle of the request.
-Test(log_timeline, daemon_that_started_anew_explains_a_missing_end) {
+Test(log_timeline, daemon_restart_explains_a_missing_end) {
   TimelineFixture fixture;
   fixture.timeline.Add("edge-1", kAdmitted);
   fixture.timeline.Add("edge-1",
@@ -113,7 +113,7 @@
   cr_assert_geq(fixture.timeline.Diagnose().missing.size(), 1);
 }
 
-Test(log_timeline, dropped_lines_are_told) {
+Test(log_timeline, dropped_lines_are_reported_as_missing) {
   TimelineFixture fixture;
   fixture.timeline.Add("edge-1",
                        "time=2026-12-03T01:00:03.000Z level=warning "
--- a/packages/observe/tests/request_metrics_test.cc
+++ b/packages/observe/tests/request_metrics_test.cc
@@ -23,11 +23,11 @@
 
 /// Strict parser of the Prometheus text format 0.0.4 that reports any
 /// unexpected input as an error.
-class MetricReader {
+class MetricParser {
  public:
-  explicit MetricReader(const std::string& text) : text_(text) {
-    while (error_.empty() && at_ < text_.size()) {
-      Line();
+  explicit MetricParser(const std::string& text) : text_(text) {
+    while (error_.empty() && position_ < text_.size()) {
+      ParseLine();
     }
   }
 
@@ -45,22 +45,22 @@
   }
 
  private:
-  bool Take(const std::string& word) {
-    if (text_.compare(at_, word.size(), word) != 0) {
+  bool Accept(const std::string& token) {
+    if (text_.compare(position_, token.size(), token) != 0) {
       return false;
     }
-    at_ += word.size();
+    position_ += token.size();
     return true;
   }
-  void Fail(const std::string& why) {
-    error_ = why + " at byte " + std::to_string(at_);
+  void Fail(const std::string& reason) {
+    error_ = reason + " at byte " + std::to_string(position_);
   }
-  std::string Name() {
+  std::string ParseName() {
     std::string name;
-    while (at_ < text_.size() &&
-           (std::isalnum(static_cast<unsigned char>(text_[at_])) != 0 ||
-            text_[at_] == '_')) {
-      name += text_[at_++];
+    while (position_ < text_.size() &&
+           (std::isalnum(static_cast<unsigned char>(text_[position_])) != 0 ||
+            text_[position_] == '_')) {
+      name += text_[position_++];
     }
     if (name.empty() ||
         std::isdigit(static_cast<unsigned char>(name[0])) != 0) {
@@ -68,62 +68,63 @@
     }
     return name;
   }
-  std::string RestOfLine() {
-    const std::size_t end = text_.find('\n', at_);
+  std::string ParseRestOfLine() {
+    const std::size_t end = text_.find('\n', position_);
     if (end == std::string::npos) {
       Fail("no end of line");
       return {};
     }
-    std::string rest = text_.substr(at_, end - at_);
-    at_ = end + 1;
+    std::string rest = text_.substr(position_, end - position_);
+    position_ = end + 1;
     return rest;
   }
-  void Line() {
-    if (Take("# HELP ")) {
-      metric_ = Name();
+  void ParseLine() {
+    if (Accept("# HELP ")) {
+      metric_ = ParseName();
       type_.clear();
       if (!seen_.insert(metric_).second) {
         Fail("a second heading of " + metric_);
       }
-      if (RestOfLine().size() < 2) {
+      if (ParseRestOfLine().size() < 2) {
         Fail("no help");
       }
-    } else if (Take("# TYPE ")) {
-      if (Name() != metric_ || !Take(" ")) {
+    } else if (Accept("# TYPE ")) {
+      if (ParseName() != metric_ || !Accept(" ")) {
         Fail("TYPE does not follow its HELP");
       }
-      type_ = RestOfLine();
+      type_ = ParseRestOfLine();
       if (type_ != "counter" && type_ != "histogram" && type_ != "gauge") {
         Fail("unknown type " + type_);
       }
     } else {
-      Sample();
+      ParseSample();
     }
   }
-  void Sample() {
-    const std::string name = Name();
-    const bool fits = type_ == "histogram" ? name == metric_ + "_bucket" ||
-                                                 name == metric_ + "_sum" ||
-                                                 name == metric_ + "_count"
-                                           : !type_.empty() && name == metric_;
-    if (!fits) {
+  void ParseSample() {
+    const std::string name = ParseName();
+    const bool belongs_to_metric = type_ == "histogram"
+                                       ? name == metric_ + "_bucket" ||
+                                             name == metric_ + "_sum" ||
+                                             name == metric_ + "_count"
+                                       : !type_.empty() && name == metric_;
+    if (!belongs_to_metric) {
       Fail(name + " stands under " + metric_);
       return;
     }
     LabelMap labels;
-    if (Take("{")) {
+    if (Accept("{")) {
       do {
-        Label(labels);
-      } while (error_.empty() && Take(","));
-      if (!Take("}")) {
+        ParseLabel(labels);
+      } while (error_.empty() && Accept(","));
+      if (!Accept("}")) {
         Fail("no }");
       }
     }
-    if (!Take(" ")) {
+    if (!Accept(" ")) {
       Fail("no space");
       return;
     }
-    const std::string number = RestOfLine();
+    const std::string number = ParseRestOfLine();
     char* end = nullptr;
     const double value = std::strtod(number.c_str(), &end);
     if (number.empty() || *end != '\0') {
@@ -133,38 +134,38 @@
       Fail("a second sample of " + name);
     }
   }
-  void Label(LabelMap& labels) {
-    const std::string name = Name();
-    if (!Take("=\"")) {
+  void ParseLabel(LabelMap& labels) {
+    const std::string name = ParseName();
+    if (!Accept("=\"")) {
       Fail("no value");
       return;
     }
     std::string value;
-    while (at_ < text_.size() && text_[at_] != '"') {
-      if (text_[at_] == '\n') {
+    while (position_ < text_.size() && text_[position_] != '"') {
+      if (text_[position_] == '\n') {
         Fail("a raw end of line in a label");
         return;
       }
-      if (text_[at_] == '\\') {
-        ++at_;
-        const char c = text_[at_];
+      if (text_[position_] == '\\') {
+        ++position_;
+        const char c = text_[position_];
         if (c != 'n' && c != '\\' && c != '"') {
           Fail("unknown escape");
           return;
         }
         value += c == 'n' ? '\n' : c;
       } else {
-        value += text_[at_];
+        value += text_[position_];
       }
-      ++at_;
+      ++position_;
     }
-    if (!Take("\"") || !labels.emplace(name, value).second) {
+    if (!Accept("\"") || !labels.emplace(name, value).second) {
       Fail("bad label " + name);
     }
   }
 
   std::string text_;
-  std::size_t at_ = 0;
+  std::size_t position_ = 0;
   std::string error_;
   std::string metric_;
   std::string type_;
@@ -172,9 +173,9 @@
   std::map<std::string, std::map<LabelMap, double>> samples_;
 };
 
-constexpr const char* kOddName = "dr\"af\\t\ns";
+constexpr const char* kNameWithSpecialCharacters = "dr\"af\\t\ns";
 
-gentianroute::CatalogueRef Declared() {
+gentianroute::CatalogueRef DeclaredCatalogue() {
   auto catalogue = std::make_shared<Catalogue>();
   auto profile = std::make_shared<Profile>();
   profile->name = "p";
@@ -182,11 +183,12 @@
                      {.name = "generate", .pool = "g"}};
   catalogue->profiles["p"] = profile;
   catalogue->services["drafts"] = {"drafts", "p"};
-  catalogue->services[kOddName] = {kOddName, "p"};
+  catalogue->services[kNameWithSpecialCharacters] = {kNameWithSpecialCharacters,
+                                                     "p"};
   return catalogue;
 }
 
-FinishRequest Finished(const std::string& service) {
+FinishRequest MakeFinishedRequest(const std::string& service) {
   FinishRequest finish;
   finish.service = service;
   finish.profile = "p";
@@ -203,26 +205,26 @@
   return finish;
 }
 
-MetricReader Read(const RequestMetrics& metrics) {
+MetricParser ParseMetrics(const RequestMetrics& metrics) {
   MetricWriter writer;
   metrics.Write(writer);
   WriteCounters(writer, {.submitted = 7, .hedges = 2});
-  return MetricReader(writer.text());
+  return MetricParser(writer.text());
 }
 
 }  // namespace
 
-Test(request_metrics, finished_requests_read_back_from_the_text_format) {
+Test(request_metrics, finished_requests_can_be_parsed_from_the_text_format) {
   RequestMetrics metrics;
-  metrics.SetCatalogue(Declared());
-  FinishRequest finish = Finished("drafts");
+  metrics.SetCatalogue(DeclaredCatalogue());
+  FinishRequest finish = MakeFinishedRequest("drafts");
   metrics.Observe(finish);
-  metrics.Observe(Finished(kOddName));
+  metrics.Observe(MakeFinishedRequest(kNameWithSpecialCharacters));
   finish.error = ErrorKind::kOverloaded;
   finish.stages.clear();
   metrics.Observe(finish);
 
-  const MetricReader read = Read(metrics);
+  const MetricParser read = ParseMetrics(metrics);
   cr_assert_eq(read.error(), "", "%s", read.error().c_str());
   const LabelMap request = {{"service", "drafts"}, {"profile", "p"}};
   cr_expect_eq(read.Value("gentianroute_answers_total", request), 1);
@@ -234,9 +236,10 @@
   cr_expect_eq(read.Value("gentianroute_request_seconds_count", request), 2);
   cr_expect_float_eq(read.Value("gentianroute_request_seconds_sum", request),
                      0.2, 1e-9);
-  cr_expect_eq(read.Value("gentianroute_answers_total",
-                          {{"service", kOddName}, {"profile", "p"}}),
-               1);
+  cr_expect_eq(
+      read.Value("gentianroute_answers_total",
+                 {{"service", kNameWithSpecialCharacters}, {"profile", "p"}}),
+      1);
   LabelMap stage = request;
   stage["stage"] = "generate";
   cr_expect_eq(read.Value("gentianroute_stage_attempts_total", stage), 4);
@@ -250,17 +253,17 @@
   cr_expect_eq(read.Value("gentianroute_hedges_total", {}), 2);
 }
 
-Test(request_metrics, buckets_include_their_bound_and_only_grow) {
+Test(request_metrics, buckets_include_their_bound_and_are_cumulative) {
   RequestMetrics metrics;
-  metrics.SetCatalogue(Declared());
+  metrics.SetCatalogue(DeclaredCatalogue());
   for (const auto took :
        {std::chrono::microseconds(100'000), std::chrono::microseconds(100'001),
         std::chrono::microseconds(90'000'000)}) {
-    FinishRequest finish = Finished("drafts");
+    FinishRequest finish = MakeFinishedRequest("drafts");
     finish.took = took;
     metrics.Observe(finish);
   }
-  const MetricReader read = Read(metrics);
+  const MetricParser read = ParseMetrics(metrics);
   const auto bucket = [&read](const std::string& bound) {
     return read.Value("gentianroute_request_seconds_bucket",
                       {{"service", "drafts"}, {"profile", "p"}, {"le", bound}});
@@ -275,37 +278,37 @@
 // Callers who try random names must not create time series: each would be kept
 // forever and exhaust the memory of the daemon and the monitoring system. Only
 // declared names become labels, up to a maximum number.
-Test(request_metrics, names_that_nobody_declared_share_one_series) {
+Test(request_metrics, undeclared_names_share_one_series) {
   RequestMetrics metrics;
-  metrics.SetCatalogue(Declared());
+  metrics.SetCatalogue(DeclaredCatalogue());
   for (int i = 0; i < 1000; ++i) {
-    FinishRequest finish = Finished("guess-" + std::to_string(i));
+    FinishRequest finish = MakeFinishedRequest("guess-" + std::to_string(i));
     finish.profile = finish.service;
     finish.stages[0].stage = finish.service;
     metrics.Observe(finish);
   }
   cr_expect_eq(metrics.label_sets(), 2U);
   cr_expect_eq(
-      Read(metrics).Value("gentianroute_answers_total",
-                          {{"service", "other"}, {"profile", "other"}}),
+      ParseMetrics(metrics).Value("gentianroute_answers_total",
+                                  {{"service", "other"}, {"profile", "other"}}),
       1000);
 }
 
-Test(request_metrics, label_sets_beyond_the_cap_go_under_other) {
+Test(request_metrics, label_sets_beyond_the_maximum_are_counted_under_other) {
   RequestMetrics metrics({.max_label_sets = 10});
-  auto catalogue = std::make_shared<Catalogue>(*Declared());
+  auto catalogue = std::make_shared<Catalogue>(*DeclaredCatalogue());
   for (int i = 0; i < 100; ++i) {
     const std::string name = "s" + std::to_string(i);
     catalogue->services[name] = {name, "p"};
   }
   metrics.SetCatalogue(catalogue);
   for (int i = 0; i < 100; ++i) {
-    metrics.Observe(Finished("s" + std::to_string(i)));
+    metrics.Observe(MakeFinishedRequest("s" + std::to_string(i)));
   }
   // The two sets labelled `other` are not counted against the maximum.
   cr_expect_eq(metrics.label_sets(), 12U);
   cr_expect_eq(
-      Read(metrics).Value("gentianroute_answers_total",
-                          {{"service", "other"}, {"profile", "other"}}),
+      ParseMetrics(metrics).Value("gentianroute_answers_total",
+                                  {{"service", "other"}, {"profile", "other"}}),
       95);
 }
--- a/packages/observe/tests/service_level_test.cc
+++ b/packages/observe/tests/service_level_test.cc
@@ -29,7 +29,7 @@
   cr_expect(std::isfinite((Attainment{10, 0}).BurnRate(1)));
 }
 
-Test(service_level, callers_mistakes_do_not_count) {
+Test(service_level, caller_errors_do_not_count) {
   cr_expect(!CountsForServiceLevel(ErrorKind::kMalformedRequest));
   cr_expect(!CountsForServiceLevel(ErrorKind::kKeyConflict));
   cr_expect(CountsForServiceLevel(ErrorKind::kOverloaded));
@@ -40,7 +40,7 @@
 // Ten requests fail during a short outage. Each window must show the failures
 // until its own length has passed, and a reused slot of the ring must not count
 // its previous content.
-Test(service_level, failures_leave_each_window_at_its_own_end) {
+Test(service_level, failures_expire_from_each_window_after_its_length) {
   ServiceLevels levels;
   for (int i = 0; i < 10; ++i) {
     levels.Observe(At(seconds(i)), "drafts", false);
@@ -70,7 +70,7 @@
 // When a host is replaced, the next process of that name continues from the
 // saved history. The long windows show the sum of both processes without slots
 // that have expired; invalid text changes nothing.
-Test(service_level_history, next_process_adds_what_the_last_one_saved) {
+Test(service_level_history, import_adds_the_history_of_the_previous_process) {
   ServiceLevels first;
   first.Observe(At(hours(1)), "drafts", false);
   first.Observe(At(hours(80)), "drafts", true);
--- a/packages/schema/tests/bad_input_test.cc
+++ b/packages/schema/tests/bad_input_test.cc
@@ -159,7 +159,7 @@
           "unique name"}});
 }
 
-Test(checked_settings, one_file_of_a_certificate_without_the_other_is_refused) {
+Test(checked_settings, certificate_file_without_key_file_is_refused) {
   std::string text = SettingsWith("");
   const std::string plain = R"("callers": {"port": 1})";
   text.replace(text.find(plain), plain.size(),
@@ -251,7 +251,7 @@
           "unique name"}});
 }
 
-Test(checked_document, body_that_its_schema_refuses_is_refused) {
+Test(checked_document, body_that_violates_its_schema_is_refused) {
   const auto check = [](const std::string& text) {
     return gentianroute::CheckDocument(
         {gentianroute::DocumentKind::kProfile, "a"}, text);
@@ -267,7 +267,7 @@
           "repeatable or deduplicatesByKey is true"}});
 }
 
-Test(checked_file, file_that_is_missing_is_refused) {
+Test(checked_file, missing_file_is_refused) {
   const auto read = [](const std::string& path) -> leaf::result<void> {
     BOOST_LEAF_CHECK(gentianroute::ReadFile(path));
     return {};
--- a/packages/schema/tests/config_history_test.cc
+++ b/packages/schema/tests/config_history_test.cc
@@ -21,7 +21,7 @@
 
 constexpr std::uint64_t kRevisions = 12;
 
-ConfigRevision RevisionOf(std::uint64_t revision) {
+ConfigRevision MakeRevision(std::uint64_t revision) {
   ConfigRevision change;
   change.revision = revision;
   const std::string name = std::to_string(revision % 3);
@@ -31,11 +31,11 @@
   return change;
 }
 
-Documents TruthAt(std::uint64_t revision) {
+Documents DocumentsAt(std::uint64_t revision) {
   const JsonConfigCodec codec;
   ConfigFollower follower(codec);
   for (std::uint64_t i = 1; i <= revision; ++i) {
-    const ConfigRevision next = RevisionOf(i);
+    const ConfigRevision next = MakeRevision(i);
     follower.Apply(std::span(&next, 1));
   }
   return follower.documents();
@@ -49,7 +49,7 @@
   return names;
 }
 
-rc::Gen<Delivery> AnyDelivery() {
+rc::Gen<Delivery> ArbitraryDelivery() {
   return rc::gen::build<Delivery>(
       rc::gen::set(&Delivery::snapshot),
       rc::gen::set(&Delivery::after,
@@ -57,14 +57,14 @@
       rc::gen::set(&Delivery::count, rc::gen::inRange<std::uint64_t>(0, 5)));
 }
 
-void Deliver(ConfigFollower& follower, const Delivery& delivery) {
+void ApplyDelivery(ConfigFollower& follower, const Delivery& delivery) {
   if (delivery.snapshot) {
-    follower.Apply(ConfigSnapshot{delivery.after, TruthAt(delivery.after)});
+    follower.Apply(ConfigSnapshot{delivery.after, DocumentsAt(delivery.after)});
     return;
   }
   std::vector<ConfigRevision> revisions;
   for (std::uint64_t i = 1; i <= delivery.count; ++i) {
-    revisions.push_back(RevisionOf(std::min(delivery.after + i, kRevisions)));
+    revisions.push_back(MakeRevision(std::min(delivery.after + i, kRevisions)));
   }
   follower.Apply(revisions);
 }
@@ -74,26 +74,27 @@
 // The store and peers deliver ranges of the log and snapshots late, duplicated
 // and out of order. For any sequence of deliveries, the revision never
 // decreases, and documents and catalogue match the log at that revision.
-Test(config_follower, any_history_holds_the_log_at_its_revision) {
-  const bool holds = rc::check([] {
+Test(config_follower,
+     any_sequence_of_deliveries_matches_the_log_at_its_revision) {
+  const bool passed = rc::check([] {
     const auto history =
-        *rc::gen::container<std::vector<Delivery>>(AnyDelivery());
+        *rc::gen::container<std::vector<Delivery>>(ArbitraryDelivery());
     const JsonConfigCodec codec;
     ConfigFollower follower({4}, codec);
-    std::uint64_t before = 0;
+    std::uint64_t last_revision = 0;
     for (const Delivery& delivery : history) {
-      Deliver(follower, delivery);
-      RC_ASSERT(follower.revision() >= before);
-      before = follower.revision();
-      const Documents truth = TruthAt(before);
-      RC_ASSERT(follower.documents().size() == truth.size());
+      ApplyDelivery(follower, delivery);
+      RC_ASSERT(follower.revision() >= last_revision);
+      last_revision = follower.revision();
+      const Documents expected = DocumentsAt(last_revision);
+      RC_ASSERT(follower.documents().size() == expected.size());
       std::vector<std::string> names;
-      for (const auto& [name, document] : truth) {
+      for (const auto& [name, document] : expected) {
         RC_ASSERT(follower.documents().at(name).revision == document.revision);
         names.push_back(name.second);
       }
       RC_ASSERT(NamesOf(follower) == names);
     }
   });
-  cr_assert(holds);
+  cr_assert(passed);
 }
--- a/packages/schema/tests/config_log_test.cc
+++ b/packages/schema/tests/config_log_test.cc
@@ -128,7 +128,7 @@
 // retries later at another daemon with the same change id. That daemon has only
 // a snapshot, which no longer contains the change as a separate revision, so it
 // must recognise the change by its id.
-Test(config_apply, lost_answer_is_settled_by_id_at_a_daemon_with_no_log) {
+Test(config_apply, retry_after_lost_answer_is_recognised_by_id_without_a_log) {
   Platform platform;
   ConfigFollower first({2}, platform.codec);
   AddRevisions(platform, first, 1);
@@ -151,7 +151,8 @@
 // after a peer has delivered the revision that holds the change. The change
 // must not be reported as a conflict with itself. Found by random_config,
 // seed 29.
-Test(config_apply, read_older_than_what_peers_told_is_no_conflict_with_itself) {
+Test(config_apply,
+     read_older_than_a_peers_revision_is_no_conflict_with_own_change) {
   Platform platform;
   ConfigFollower follower(platform.codec);
   const auto change = Change("mine", DocumentKind::kPool, "p", kPool);
@@ -165,7 +166,7 @@
   cr_assert(apply.state() == State::kApplied);
 }
 
-Test(config_apply, race_on_different_documents_is_rebased) {
+Test(config_apply, concurrent_changes_of_different_documents_are_rebased) {
   Platform platform;
   ConfigFollower first(platform.codec);
   ConfigFollower second(platform.codec);
@@ -180,7 +181,7 @@
   cr_assert_eq(slow.revision(), 2);
 }
 
-Test(config_apply, race_on_one_document_shows_both_sides) {
+Test(config_apply, concurrent_changes_of_one_document_report_both_versions) {
   Platform platform;
   ConfigFollower follower(platform.codec);
   AddRevisions(platform, follower, 2);
@@ -228,7 +229,8 @@
 
 // The rows of old revisions have been deleted. A new host must restore the
 // configuration from the snapshot and the rows after it.
-Test(config_snapshotter, new_host_reads_snapshot_and_rows_behind_are_deleted) {
+Test(config_snapshotter,
+     new_host_restores_from_snapshot_and_older_rows_are_deleted) {
   Platform platform;
   ConfigFollower writer(platform.codec);
   AddRevisions(platform, writer, 50);
@@ -265,7 +267,7 @@
 // During a store outage, one peer announces revision 9 to a new host and a
 // stale peer delivers revision 3. The host must not serve with outdated
 // profiles, so it is not ready until it has the highest announced revision.
-Test(config_follower, new_host_with_stale_part_only_is_not_known) {
+Test(config_follower, new_host_with_stale_snapshot_is_not_ready) {
   const JsonConfigCodec codec;
   ConfigFollower follower(codec);
   follower.Heard(9);
--- a/packages/schema/tests/digest_size_test.cc
+++ b/packages/schema/tests/digest_size_test.cc
@@ -11,7 +11,7 @@
 // Every daemon exchanges digests periodically. The size of a digest that is
 // filled to its bounds limits the gossip bandwidth of a daemon, independently
 // of the number of daemons.
-Test(digest, full_digest_fits_its_share_of_four_kilobytes_a_second) {
+Test(digest, full_digest_fits_gossip_budget_of_4096_bytes_per_second) {
   capnp::MallocMessageBuilder message;
   auto digest = message.initRoot<schema::Digest>();
   digest.setDaemon("entry-host-of-a-data-centre-001");
--- a/packages/schema/tests/lease_test.cc
+++ b/packages/schema/tests/lease_test.cc
@@ -31,7 +31,9 @@
   }
 
   /// Advances a keeper until it has nothing left to do at `now`.
-  void Run(LeaseKeeper& keeper, TimePoint now, bool wanted = true) {
+  void AdvanceUntilIdle(LeaseKeeper& keeper,
+                        TimePoint now,
+                        bool wanted = true) {
     for (Step step = keeper.Advance(now, wanted); step != Step::kNone;
          step = keeper.Advance(now, wanted)) {
       if (step == Step::kRead) {
@@ -52,35 +54,35 @@
 // The holder is paused. Another daemon takes over once the lease duration and
 // the maximum duration of an order have passed. After resuming, the first
 // daemon must detect by its own clock that it may no longer send.
-Test(lease, paused_holder_finds_its_lease_lapsed) {
+Test(lease, paused_holder_detects_its_expired_lease) {
   Fixture fixture;
-  fixture.Run(fixture.first, At(0));
+  fixture.AdvanceUntilIdle(fixture.first, At(0));
   cr_assert(fixture.first.MaySend(At(8)));
   cr_assert(!fixture.first.MaySend(At(9)), "it could arrive after the lease");
   for (int second = 1; second <= 12; ++second) {
-    fixture.Run(fixture.second, At(second));
+    fixture.AdvanceUntilIdle(fixture.second, At(second));
     cr_assert(!fixture.second.held());
   }
-  fixture.Run(fixture.second, At(13));
+  fixture.AdvanceUntilIdle(fixture.second, At(13));
   cr_assert(fixture.second.MaySend(At(13)));
   cr_assert_eq(fixture.second.fencing(), 2);
   cr_assert(!fixture.first.MaySend(At(13)));
-  fixture.Run(fixture.first, At(13));
+  fixture.AdvanceUntilIdle(fixture.first, At(13));
   cr_assert(!fixture.first.held());
 }
 
 // After deciding an order, the holder is paused, loses the lease to another
 // daemon and acquires it again. Writing the old order then would undo the other
 // daemon's orders. Found by random_config, seed 8.
-Test(lease, order_of_an_earlier_term_is_void) {
+Test(lease, order_of_an_earlier_term_is_not_sent) {
   Fixture fixture;
-  fixture.Run(fixture.first, At(0));
+  fixture.AdvanceUntilIdle(fixture.first, At(0));
   const std::uint64_t decided = fixture.first.fencing();
   cr_assert(fixture.first.MaySend(At(1), decided));
-  fixture.Run(fixture.second, At(1));
-  fixture.Run(fixture.second, At(13));
-  fixture.Run(fixture.second, At(14), false);
-  fixture.Run(fixture.first, At(14));
+  fixture.AdvanceUntilIdle(fixture.second, At(1));
+  fixture.AdvanceUntilIdle(fixture.second, At(13));
+  fixture.AdvanceUntilIdle(fixture.second, At(14), false);
+  fixture.AdvanceUntilIdle(fixture.first, At(14));
   cr_assert_eq(fixture.first.fencing(), 3);
   cr_assert(fixture.first.MaySend(At(14)));
   cr_assert(!fixture.first.MaySend(At(14), decided));
@@ -89,9 +91,9 @@
 // The answer to a renewal arrives six seconds late. Other daemons count the
 // lease duration from the write, so the holder must not count it from the
 // answer.
-Test(lease, time_is_counted_from_before_the_renewal_was_sent) {
+Test(lease, lease_time_is_counted_from_before_the_renewal_was_sent) {
   Fixture fixture;
-  fixture.Run(fixture.first, At(0));
+  fixture.AdvanceUntilIdle(fixture.first, At(0));
   cr_assert(fixture.first.Advance(At(3), true) == Step::kTransact);
   const auto result = fixture.Commit(fixture.first.transaction());
   fixture.first.OnTransacted(At(9), result);
@@ -102,7 +104,7 @@
 // When the answer to an acquisition is lost, the daemon does not know whether
 // it holds the lease. It must send nothing until it has acquired the lease
 // again with a new fencing number.
-Test(lease, lost_acquisition_sends_nothing_until_settled) {
+Test(lease, unanswered_acquisition_sends_nothing_until_acquired_again) {
   Fixture fixture;
   cr_assert(fixture.first.Advance(At(0), true) == Step::kRead);
   fixture.first.OnRead(At(0), fixture.Read());
@@ -110,26 +112,26 @@
   fixture.Commit(fixture.first.transaction());
   fixture.first.OnTransacted(At(1), {});
   cr_assert(!fixture.first.MaySend(At(1)));
-  fixture.Run(fixture.first, At(4));
+  fixture.AdvanceUntilIdle(fixture.first, At(4));
   cr_assert(fixture.first.MaySend(At(4)));
   cr_assert_eq(fixture.first.fencing(), 2);
 }
 
-Test(lease, given_back_on_drain_is_taken_at_once) {
+Test(lease, lease_released_on_drain_is_available_immediately) {
   Fixture fixture;
-  fixture.Run(fixture.first, At(0));
-  fixture.Run(fixture.first, At(1), false);
+  fixture.AdvanceUntilIdle(fixture.first, At(0));
+  fixture.AdvanceUntilIdle(fixture.first, At(1), false);
   cr_assert(!fixture.first.MaySend(At(1)));
-  fixture.Run(fixture.second, At(1));
+  fixture.AdvanceUntilIdle(fixture.second, At(1));
   cr_assert(fixture.second.MaySend(At(1)));
 }
 
 // The desired state changes while an order has no answer yet. A second order
 // sent immediately could overtake the first, which would then undo it on an
 // engine that ignores fencing numbers.
-Test(order_issuer, order_in_flight_holds_back_the_next) {
+Test(order_issuer, order_in_flight_delays_the_next) {
   Fixture fixture;
-  fixture.Run(fixture.first, At(0));
+  fixture.AdvanceUntilIdle(fixture.first, At(0));
   OrderIssuer issuer({});
   const std::vector<std::string> engines = {"e"};
   issuer.SetEngines(engines);
@@ -141,7 +143,7 @@
   issuer.OnState("e", EngineState{});
   cr_assert(issuer.Advance(At(1), fixture.first).orders.empty());
   cr_assert(issuer.InFlight(At(1)));
-  fixture.Run(fixture.first, At(3));
+  fixture.AdvanceUntilIdle(fixture.first, At(3));
   cr_assert_eq(issuer.Advance(At(3), fixture.first).orders.size(), 1);
 }
 
@@ -151,7 +153,7 @@
 // that is too old must not be written at all. Found by random_config, seed 29.
 Test(order_issuer, order_counts_as_in_flight_from_its_write) {
   Fixture fixture;
-  fixture.Run(fixture.first, At(0));
+  fixture.AdvanceUntilIdle(fixture.first, At(0));
   OrderIssuer issuer({});
   const std::vector<std::string> engines = {"e"};
   issuer.SetEngines(engines);
@@ -172,7 +174,7 @@
   cr_assert(issuer.MayWrite(At(4), fixture.first, next[0]));
 }
 
-Test(order_issuer, engine_that_runs_a_group_already_is_kept) {
+Test(order_issuer, engine_that_already_runs_a_group_is_kept) {
   const std::vector<EngineGroup> groups = {{Model("a"), 1, {}},
                                            {Model("b"), 1, {"e3"}}};
   const auto assigned = AssignEngines(
--- a/packages/schema/tests/reference_test.cc
+++ b/packages/schema/tests/reference_test.cc
@@ -9,7 +9,7 @@
 
 namespace {
 
-std::string Page(const std::string& name) {
+std::string ReadPage(const std::string& name) {
   std::ifstream file(std::string(GENTIANROUTE_SOURCE_DIR "/docs/") + name);
   std::stringstream text;
   text << file.rdbuf();
@@ -19,7 +19,7 @@
 }  // namespace
 
 Test(reference, page_has_the_tables_of_the_compiled_schema) {
-  const std::string page = Page("REFERENCE.md");
+  const std::string page = ReadPage("REFERENCE.md");
   cr_assert(page.find(gentianroute::SettingsReference()) != std::string::npos,
             "write `gentianctl reference settings` into docs/REFERENCE.md");
   cr_assert(page.find(gentianroute::ProfilesReference()) != std::string::npos,
@@ -36,7 +36,7 @@
 }
 
 Test(reference, operating_page_has_the_table_of_error_kinds) {
-  const std::string page = Page("OPERATING.md");
+  const std::string page = ReadPage("OPERATING.md");
   cr_assert(page.find(gentianroute::ErrorsReference()) != std::string::npos,
             "write `gentianctl reference errors` into docs/OPERATING.md");
 }
