--- a/packages/observe/include/gentianroute/observe/log_buffer.h
+++ b/packages/observe/include/gentianroute/observe/log_buffer.h
@@ -15,8 +15,8 @@
 /// It fills when lines are produced faster than they are read, as at several
 /// times the usual load or while the reader is stopped. Dropping lines at
 /// random would leave the log of every request incomplete. Instead, as the
-/// buffer fills, lines of fewer and fewer requests are kept, complete for a
-/// sample of them, and lines about failures are dropped last.
+/// buffer fills, all lines are kept for a sample of the requests only, and
+/// lines about failures are dropped last.
 class LogBuffer {
  public:
   explicit LogBuffer(std::size_t max_bytes) : max_bytes_(max_bytes) {}
--- a/packages/schema/src/checked_json.cc
+++ b/packages/schema/src/checked_json.cc
@@ -52,7 +52,7 @@
       const char* name = field.getProto().getName().cStr();
       if (HasAnnotation(field, Annotation::kRequired) &&
           !value.contains(name)) {
-        return Fail(path.empty() ? name : path + "." + name, "no value",
+        return Fail(path.empty() ? name : path + "." + name, "nothing",
                     "a value, since the field is required");
       }
     }
--- a/packages/schema/src/profile_semantics.h
+++ b/packages/schema/src/profile_semantics.h
@@ -10,9 +10,9 @@
 
 /// @brief Checks rules that involve several fields of one profile.
 /// @param profile JSON that has passed DecodeChecked()
-/// @return SchemaError for a duplicate stage name, a non-repeatable stage that
-/// sets more than one attempt or a hedge, or a deadline shorter than the sum of
-/// the stages' expected durations
+/// @return SchemaError for a duplicate stage name, a stage that sets more
+/// than one attempt or a hedge though it may not be retried, or a deadline
+/// shorter than the sum of the stages' expected durations
 leaf::result<void> CheckProfileSemantics(const Origin& origin,
                                          const nlohmann::json& profile);
 
--- a/packages/schema/src/settings.cc
+++ b/packages/schema/src/settings.cc
@@ -38,7 +38,7 @@
   const std::string missing = certificate ? "keyFile" : "certificateFile";
   const std::string present = certificate ? "certificateFile" : "keyFile";
   return leaf::new_error(
-      SchemaError{std::string(file), path + "." + missing, "no value",
+      SchemaError{std::string(file), path + "." + missing, "nothing",
                   "a file name, since " + present + " is set"});
 }
 
