--- a/packages/observe/include/gentianroute/observe/service_level.h
+++ b/packages/observe/include/gentianroute/observe/service_level.h
@@ -18,7 +18,7 @@
 /// @brief Requests that count towards the service level.
 struct Attainment {
   std::uint64_t total = 0;
-  std::uint64_t attained = 0;  ///< answered whole within their deadline
+  std::uint64_t attained = 0;  ///< answered completely within the deadline
 
   /// @return attained requests as a share from 0 to 1; 1 if there were none
   double Share() const;
--- a/packages/observe/tests/request_metrics_test.cc
+++ b/packages/observe/tests/request_metrics_test.cc
@@ -83,7 +83,7 @@
       metric_ = ParseName();
       type_.clear();
       if (!seen_.insert(metric_).second) {
-        Fail("a second heading of " + metric_);
+        Fail("duplicate HELP line of " + metric_);
       }
       if (ParseRestOfLine().size() < 2) {
         Fail("no help");
@@ -108,7 +108,7 @@
                                              name == metric_ + "_count"
                                        : !type_.empty() && name == metric_;
     if (!belongs_to_metric) {
-      Fail(name + " stands under " + metric_);
+      Fail(name + " does not belong to " + metric_);
       return;
     }
     LabelMap labels;
@@ -131,7 +131,7 @@
       Fail("no number");
     }
     if (!samples_[name].emplace(labels, value).second) {
-      Fail("a second sample of " + name);
+      Fail("duplicate sample of " + name);
     }
   }
   void ParseLabel(LabelMap& labels) {
@@ -143,7 +143,7 @@
     std::string value;
     while (position_ < text_.size() && text_[position_] != '"') {
       if (text_[position_] == '\n') {
-        Fail("a raw end of line in a label");
+        Fail("unescaped newline in a label");
         return;
       }
       if (text_[position_] == '\\') {
--- a/packages/schema/src/constraints.cc
+++ b/packages/schema/src/constraints.cc
@@ -9,9 +9,9 @@
 
 std::optional<capnp::schema::Value::Reader> FindAnnotation(
     capnp::StructSchema::Field field,
-    Annotation wanted) {
+    Annotation id) {
   for (const auto annotation : field.getProto().getAnnotations()) {
-    if (annotation.getId() == static_cast<std::uint64_t>(wanted)) {
+    if (annotation.getId() == static_cast<std::uint64_t>(id)) {
       return annotation.getValue();
     }
   }
