--- a/packages/decision/src/config_apply.cc
+++ b/packages/decision/src/config_apply.cc
@@ -38,7 +38,8 @@
   if (!change_.change_id.empty()) {
     reads_.push_back(Row(ConfigChangeKey(change_.change_id)));
   }
-  // Most polls find nothing new; they must not cost the store a batch of rows.
+  // Most polls find nothing new, so read only the next revision unless the head
+  // is known to be further ahead.
   const bool behind = read_after_ < head_revision_;
   const std::size_t count = behind ? kRevisionsPerRead : 1;
   for (std::size_t i = 1; i <= count; ++i) {
@@ -46,7 +47,7 @@
   }
 }
 
-void ConfigApply::TryAgain() {
+void ConfigApply::Retry() {
   if (++tries_ < options_.max_tries) {
     ReadLog();
     return;
@@ -55,39 +56,40 @@
 }
 
 void ConfigApply::GiveUp() {
-  state_ = own_found_ ? State::kApplied : State::kUnreachable;
+  state_ = own_change_found_ ? State::kApplied : State::kUnreachable;
 }
 
 void ConfigApply::OnRead(const ReadResult& result) {
   if (!result.answered) {
-    TryAgain();
+    Retry();
     return;
   }
-  TakeRows(result);
+  ApplyRows(result);
   if (follower_.revision() < head_revision_) {
     CatchUp();
     return;
   }
-  if (own_found_) {
+  if (own_change_found_) {
     state_ = State::kApplied;
     return;
   }
   if (follower_.revision() > head_revision_) {
-    // Peers were faster than this read. It may be older than the change's own
-    // row while the follower holds the change itself, which would then be told
-    // as a conflict with itself; a newer read shows both.
-    TryAgain();
+    // The follower has received revisions from peers that are newer than this
+    // read. They may include this change while the read lacks its change id
+    // row, and the change would be reported as a conflict with itself. A newer
+    // read has both.
+    Retry();
     return;
   }
   if (change_.change_id.empty()) {
     state_ = State::kCaughtUp;
     return;
   }
-  if (FindConflict()) {
+  if (DetectConflict()) {
     state_ = State::kConflict;
     return;
   }
-  if (FindProblem()) {
+  if (DetectProblem()) {
     state_ = State::kInvalid;
     return;
   }
@@ -95,7 +97,7 @@
 }
 
 void ConfigApply::CatchUp() {
-  if (SnapshotHelps()) {
+  if (CanUseSnapshot()) {
     state_ = State::kGetObject;
     object_ = ConfigSnapshotObject(options_.retention, snapshot_revision_);
     return;
@@ -105,10 +107,10 @@
     return;
   }
   object_failed_ = false;
-  TryAgain();
+  Retry();
 }
 
-bool ConfigApply::SnapshotHelps() const {
+bool ConfigApply::CanUseSnapshot() const {
   return !object_failed_ &&
          snapshot_revision_ > follower_.revision() + kRevisionsPerRead;
 }
@@ -118,12 +120,12 @@
   if (content.has_value()) {
     snapshot = codec_.DecodeSnapshot(*content);
   }
-  // Without a snapshot the rows may still reach back far enough.
+  // Without a snapshot, the retained rows may still suffice to catch up.
   object_failed_ = !snapshot.has_value() || !follower_.Apply(*snapshot);
   ReadLog();
 }
 
-void ConfigApply::TakeRows(const ReadResult& result) {
+void ConfigApply::ApplyRows(const ReadResult& result) {
   head_version_ = 0;
   head_revision_ = 0;
   std::vector<ConfigRevision> revisions;
@@ -134,25 +136,25 @@
     }
     if (row.key == Row(kConfigHeadKey)) {
       head_version_ = row.version;
-      head_revision_ = NumberOf(row.value);
+      head_revision_ = ParseLeadingNumber(row.value);
     } else if (row.key == Row(kConfigSnapshotKey)) {
-      snapshot_revision_ = NumberOf(row.value);
+      snapshot_revision_ = ParseLeadingNumber(row.value);
     } else if (row.key == own) {
-      own_found_ = true;
-      change_.revision = NumberOf(row.value);
+      own_change_found_ = true;
+      change_.revision = ParseLeadingNumber(row.value);
     } else if (auto revision = codec_.Decode(row.value)) {
       revisions.push_back(std::move(*revision));
     }
   }
-  follower_.Heard(head_revision_);
+  follower_.OnRevisionSeen(head_revision_);
   std::ranges::sort(revisions, {}, &ConfigRevision::revision);
   follower_.Apply(revisions);
   if (head_revision_ == 0) {
-    follower_.KnowEmpty();
+    follower_.OnEmptyLog();
   }
 }
 
-bool ConfigApply::FindConflict() {
+bool ConfigApply::DetectConflict() {
   for (const DocumentChange& change : change_.changes) {
     const auto present = follower_.documents().find(change.FullName());
     const bool exists = present != follower_.documents().end();
@@ -167,14 +169,15 @@
   return false;
 }
 
-bool ConfigApply::FindProblem() {
-  // Each author checked the change against what was in force then. After a
-  // rebase onto another's change (a pool deleted while a stage began to use
-  // it) both would be valid alone and requests of the service would fail.
+bool ConfigApply::DetectProblem() {
+  // The author validated the change against older documents. Together with
+  // another author's change, both may be valid alone and invalid combined: one
+  // deletes a pool while the other adds a stage that uses it, and requests of
+  // that service would fail.
   Catalogue next = *follower_.catalogue();
   for (const DocumentChange& change : change_.changes) {
     if (!ChangeCatalogue(next, change, head_revision_ + 1, codec_)) {
-      problem_ = "'" + change.name + "' is not valid";
+      problem_ = "document '" + change.name + "' is not valid";
       return true;
     }
   }
@@ -207,7 +210,8 @@
     state_ = State::kApplied;
     return;
   }
-  // Conflict, refusal or a lost answer: the log tells what became of it.
+  // On a conflict, a refusal or a lost response, read the log to find out
+  // whether the change has been applied.
   ReadLog();
 }
 
--- a/packages/decision/src/coordinator_claims.cc
+++ b/packages/decision/src/coordinator_claims.cc
@@ -1,4 +1,4 @@
-// Claims, joins and stored outcomes of the coordinator.
+// Idempotency claims, joins and remembered outcomes.
 
 #include <algorithm>
 #include <utility>
@@ -19,31 +19,31 @@
   live_tokens_[request.claim_token] = request.id;
 }
 
-void Coordinator::PumpClaims(TimePoint now) {
+void Coordinator::ProcessClaims(TimePoint now) {
   claims_.Advance(now);
-  for (const ClaimVerdict& verdict : claims_.TakeVerdicts()) {
-    OnVerdict(now, verdict);
+  for (const ClaimResult& result : claims_.TakeResults()) {
+    OnClaimResult(now, result);
   }
 }
 
-void Coordinator::OnVerdict(TimePoint now, const ClaimVerdict& verdict) {
-  const auto found = requests_.find(verdict.request);
+void Coordinator::OnClaimResult(TimePoint now, const ClaimResult& result) {
+  const auto found = requests_.find(result.request);
   if (found == requests_.end()) {
-    // Its deadline passed while the store was asked. Nothing was sent, so the
-    // key is given back and the caller's next try may run.
-    if (verdict.outcome == ClaimOutcome::kStands) {
-      claims_.Settle(now, verdict.token, ClaimState::kNotRun, 0, {});
+    // The deadline passed while the claim was in flight. No call was sent, so
+    // the key is released and a resend by the caller may run.
+    if (result.outcome == ClaimOutcome::kConfirmed) {
+      claims_.Settle(now, result.token, ClaimState::kNotRun, 0, {});
     }
     return;
   }
   Request& request = found->second;
   GR_INVARIANT(request.phase == RequestPhase::kClaiming);
-  GR_INVARIANT(request.claim_token == verdict.token);
-  request.key_read |= verdict.outcome != ClaimOutcome::kUnavailable;
-  switch (verdict.outcome) {
-    case ClaimOutcome::kStands:
-      request.claim_stands = true;
-      Begin(now, request);
+  GR_INVARIANT(request.claim_token == result.token);
+  request.key_row_read |= result.outcome != ClaimOutcome::kUnavailable;
+  switch (result.outcome) {
+    case ClaimOutcome::kConfirmed:
+      request.claim_confirmed = true;
+      EnterFirstStage(now, request);
       break;
     case ClaimOutcome::kUnavailable:
       AbandonToken(now, request);
@@ -52,22 +52,22 @@
       break;
     case ClaimOutcome::kTaken:
       AbandonToken(now, request);
-      OnKeyTaken(now, request, verdict);
+      OnKeyTaken(now, request, result);
       break;
   }
 }
 
 void Coordinator::AbandonToken(TimePoint now, Request& request) {
-  GR_INVARIANT(!request.claim_stands);
+  GR_INVARIANT(!request.claim_confirmed);
   const std::string token = std::exchange(request.claim_token, {});
   live_tokens_.erase(token);
-  Remember(now, token, {JoinState::kAbandoned, std::nullopt, {}});
+  RecordOutcome(now, token, {JoinState::kAbandoned, std::nullopt, {}});
 }
 
 void Coordinator::OnKeyTaken(TimePoint now,
                              Request& request,
-                             const ClaimVerdict& verdict) {
-  const Claim& holder = verdict.holder;
+                             const ClaimResult& result) {
+  const Claim& holder = result.holder;
   if (holder.body_digest != request.submission.body_digest) {
     Finish(
         now, request, ErrorKind::kKeyConflict,
@@ -82,26 +82,27 @@
   ++counters_.joins;
   request.phase = RequestPhase::kJoining;
   request.holder_token = holder.token;
-  request.holder_version = verdict.holder_version;
+  request.holder_version = result.holder_version;
   if (live_tokens_.contains(holder.token)) {
     joins_[holder.token].requests.push_back(request.id);
     return;
   }
-  const JoinOutcome outcome = Recall(holder.token);
+  const JoinOutcome outcome = FindOutcome(holder.token);
   if (outcome.state != JoinState::kUnknown) {
     FinishJoined(now, request, outcome);
     return;
   }
-  actions_.push_back(AskClaimer{request.id, holder});
+  actions_.push_back(QueryClaimHolder{request.id, holder});
 }
 
-void Coordinator::OnClaimerAnswered(TimePoint now,
-                                    RequestId id,
-                                    std::string_view token,
-                                    const JoinOutcome& outcome) {
+void Coordinator::OnClaimHolderAnswered(TimePoint now,
+                                        RequestId id,
+                                        std::string_view token,
+                                        const JoinOutcome& outcome) {
   const auto found = requests_.find(id);
-  // An answer that comes twice, or after the request has met another holder,
-  // says nothing of that one: "abandoned" would take over a token that runs.
+  // A duplicate answer, or one about an earlier holder, doesn't apply to the
+  // current holder: acting on its "abandoned" would replace the claim of a
+  // request that may be running.
   if (found == requests_.end() ||
       found->second.phase != RequestPhase::kJoining ||
       found->second.holder_token != token) {
@@ -122,8 +123,9 @@
              outcome.body, true);
       break;
     case JoinState::kAbandoned:
-      // The row is replaced only as it was read: whoever else took it over in
-      // between has changed its version, and this claim then meets that one.
+      // The row is replaced only if its version is still the one read. If
+      // another request has replaced it since, this claim conflicts with that
+      // one.
       BeginClaim(now, request, request.holder_version);
       break;
     case JoinState::kUnknown:
@@ -139,26 +141,26 @@
     joins_[std::string(token)].peers.push_back(join);
     return join;
   }
-  actions_.push_back(AnswerJoin{join, Recall(token)});
+  actions_.push_back(AnswerJoin{join, FindOutcome(token)});
   return join;
 }
 
-JoinOutcome Coordinator::Recall(std::string_view token) const {
-  for (const Remembered& remembered : remembered_) {
+JoinOutcome Coordinator::FindOutcome(std::string_view token) const {
+  for (const FinishedClaim& remembered : finished_claims_) {
     if (remembered.token == token) {
       return remembered.outcome;
     }
   }
-  // Not running and not remembered: it may be older than the memory reaches.
+  // Neither running nor recorded; its record may have been dropped already.
   return {JoinState::kUnknown, std::nullopt, {}};
 }
 
-void Coordinator::Remember(TimePoint now,
-                           const std::string& token,
-                           const JoinOutcome& outcome) {
-  remembered_.push_back({token, outcome});
-  if (remembered_.size() > options_.max_remembered) {
-    remembered_.pop_front();
+void Coordinator::RecordOutcome(TimePoint now,
+                                const std::string& token,
+                                const JoinOutcome& outcome) {
+  finished_claims_.push_back({token, outcome});
+  if (finished_claims_.size() > options_.max_kept_outcomes) {
+    finished_claims_.pop_front();
   }
   const auto found = joins_.find(token);
   if (found == joins_.end()) {
@@ -181,7 +183,7 @@
                               const Request& request,
                               std::optional<ErrorKind> error,
                               const std::string& body) {
-  if (!request.claim_stands) {
+  if (!request.claim_confirmed) {
     return;
   }
   if (!error.has_value()) {
--- a/packages/decision/tests/decision_fixture.h
+++ b/packages/decision/tests/decision_fixture.h
@@ -15,7 +15,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// @brief Claim rows as JSON; the schema package has the real codec.
+/// @brief Claim codec for tests that writes JSON.
 class JsonClaimCodec : public ClaimCodec {
  public:
   std::string Encode(const Claim& claim) const override {
@@ -48,7 +48,8 @@
   }
 };
 
-/// @brief The table service: conditional transactions over rows with versions.
+/// @brief In-memory table service with versioned rows and conditional
+/// transactions.
 class FakeTable {
  public:
   TransactResult Transact(const TableTransaction& transaction) {
@@ -91,7 +92,7 @@
   std::uint64_t version_ = 0;
 };
 
-/// @brief One profile `name` served under its own name.
+/// @brief Adds a profile and a service of the same name to a catalogue.
 inline void AddService(Catalogue& catalogue,
                        const std::string& name,
                        std::vector<StageSpec> stages,
@@ -112,10 +113,11 @@
   return stage;
 }
 
-/// @brief `letters`: encode, then generate, streamed. `orders`: one call that
-/// must not repeat. `lookups`: one repeatable call; `thrifty`: the
-/// same, cost first.
-inline CatalogueRef ThreeServices() {
+/// @brief Returns a catalogue with four services. `letters` has the stages
+/// encode and generate, the latter streamed. `orders` has one stage that must
+/// not be repeated. `lookups` has one repeatable stage, and so has `thrifty`,
+/// which minimises cost.
+inline CatalogueRef TestCatalogue() {
   auto catalogue = std::make_shared<Catalogue>();
   catalogue->revision = 1;
   StageSpec generate = StageOf("generate");
@@ -142,7 +144,7 @@
   return host;
 }
 
-/// @brief The decisions of one daemon incarnation.
+/// @brief Coordinator of one daemon incarnation with its dependencies.
 struct DecisionCore {
   DecisionCore(const std::string& name,
                std::uint64_t incarnation,
@@ -152,7 +154,7 @@
         claims({name, incarnation}, codec),
         coordinator(options, servers, usage, suspects, claims) {
     servers.ApplyHostList(TimePoint{}, hosts);
-    coordinator.SetCatalogue(ThreeServices());
+    coordinator.SetCatalogue(TestCatalogue());
   }
 
   JsonClaimCodec codec;
@@ -163,7 +165,7 @@
   Coordinator coordinator;
 };
 
-/// @brief A request whose fingerprint and digest follow from its text.
+/// @brief Returns a request whose fingerprint and digest derive from `text`.
 inline Submission SubmissionOf(const std::string& service,
                                const std::string& text,
                                const std::string& key = {}) {
@@ -178,7 +180,8 @@
   return submission;
 }
 
-/// @brief A core under test, with its actions sorted and its store at hand.
+/// @brief Test harness around a DecisionCore. Collects its actions by type and
+/// provides its table service and clock.
 struct Bench {
   explicit Bench(const std::vector<HostRecord>& hosts,
                  const std::string& name = "daemon-1")
@@ -188,11 +191,11 @@
 
   RequestId Submit(Submission submission) {
     const RequestId id = core.coordinator.Submit(now, 0, std::move(submission));
-    Take();
+    TakeActions();
     return id;
   }
 
-  void Take() {
+  void TakeActions() {
     for (Action& action : core.coordinator.TakeActions()) {
       if (auto* start = std::get_if<StartAttempt>(&action)) {
         starts.push_back(std::move(*start));
@@ -200,8 +203,8 @@
         finishes.push_back(std::move(*finish));
       } else if (auto* cancel = std::get_if<CancelAttempt>(&action)) {
         cancels.push_back(std::move(*cancel));
-      } else if (auto* ask = std::get_if<AskClaimer>(&action)) {
-        asks.push_back(std::move(*ask));
+      } else if (auto* query = std::get_if<QueryClaimHolder>(&action)) {
+        queries.push_back(std::move(*query));
       } else if (auto* join = std::get_if<AnswerJoin>(&action)) {
         joins.push_back(std::move(*join));
       } else if (auto* chunk = std::get_if<DeliverChunk>(&action)) {
@@ -213,22 +216,22 @@
   void Advance(Duration by) {
     now += by;
     core.coordinator.Advance(now);
-    core.coordinator.PumpClaims(now);
-    Take();
+    core.coordinator.ProcessClaims(now);
+    TakeActions();
   }
 
-  /// @brief Lets the ledger ask the store, and the store answer, until a claim
-  /// that meets others has come to its end.
+  /// @brief Exchanges operations between the ledger and the table service for
+  /// as many rounds as a claim with conflicts needs to complete.
   void Settle() {
     constexpr int kRounds = 8;
     for (int round = 0; round < kRounds; ++round) {
       Advance(milliseconds(5));
-      for (const ClaimStep& step : core.claims.TakeSteps()) {
-        if (step.kind == ClaimStep::Kind::kRead) {
-          core.claims.OnRead(now, step.step, table.Read(step.reads));
+      for (const ClaimOperation& operation : core.claims.TakeOperations()) {
+        if (operation.kind == ClaimOperation::Kind::kRead) {
+          core.claims.OnRead(now, operation.id, table.Read(operation.reads));
         } else {
-          core.claims.OnTransacted(now, step.step,
-                                   table.Transact(step.transaction));
+          core.claims.OnTransacted(now, operation.id,
+                                   table.Transact(operation.transaction));
         }
       }
     }
@@ -237,7 +240,7 @@
 
   void Write(AttemptId attempt) { core.coordinator.OnWritten(attempt); }
 
-  /// @brief The call is written and answered whole.
+  /// @brief Delivers a complete answer with status 200.
   void Answer(AttemptId attempt, const std::string& body) {
     AttemptAnswer answer;
     answer.attempt = attempt;
@@ -245,21 +248,21 @@
     answer.status = 200;
     answer.body = body;
     core.coordinator.OnAnswer(now, answer);
-    Take();
+    TakeActions();
   }
 
   void Chunk(AttemptId attempt, std::uint64_t offset, const std::string& text) {
     core.coordinator.OnChunk(now, {attempt, attempt, offset, text});
-    Take();
+    TakeActions();
   }
 
   void Fail(AttemptId attempt, AttemptFailure failure) {
     core.coordinator.OnFailure(now, attempt, failure, "test");
-    Take();
+    TakeActions();
   }
 
-  /// @brief Every call in flight at the server breaks, and the next list of
-  /// hosts shows that it was restarted.
+  /// @brief Resets every call in flight at the server and increments its
+  /// incarnation in the list of hosts.
   void Crash(const std::string& server) {
     for (const AttemptId attempt : RunningAt(server)) {
       Fail(attempt, AttemptFailure::kReset);
@@ -306,7 +309,7 @@
   std::vector<StartAttempt> starts;
   std::vector<FinishRequest> finishes;
   std::vector<CancelAttempt> cancels;
-  std::vector<AskClaimer> asks;
+  std::vector<QueryClaimHolder> queries;
   std::vector<AnswerJoin> joins;
   std::string streamed;
 };
--- a/packages/decision/tests/poll_schedule_test.cc
+++ b/packages/decision/tests/poll_schedule_test.cc
@@ -28,28 +28,28 @@
   for (const std::string& name : names) {
     PollSchedule schedule({name});
     schedule.SetPeers(names);
-    pollers += schedule.poller() ? 1 : 0;
+    pollers += schedule.is_poller() ? 1 : 0;
   }
   cr_assert_eq(pollers, 3);
 }
 
-// All three pollers are dead but still listed. Nobody would read the log any
-// more, and an applied change would never get here; so the others poll when
-// they have heard of no read for a while, each at its own time.
-Test(poll_schedule, silence_makes_the_others_poll_now_and_then) {
+// All three pollers are dead but still listed, so no daemon reads the log and
+// changes don't arrive. The others must poll when they have learned of no read
+// for some time, and at different times.
+Test(poll_schedule, no_known_read_makes_other_daemons_poll) {
   const auto names = Names(90);
   int polls = 0;
   for (const std::string& name : names) {
     PollSchedule schedule({name});
     schedule.SetPeers(names);
-    if (schedule.poller()) {
+    if (schedule.is_poller()) {
       continue;
     }
-    schedule.OnHeard(TimePoint{}, seconds(0));
-    cr_assert(!schedule.Due(TimePoint{} + seconds(3)));
+    schedule.OnPeerReadAge(TimePoint{}, seconds(0));
+    cr_assert(!schedule.IsPollDue(TimePoint{} + seconds(3)));
     int own = 0;
     for (int second = 4; second < 24; ++second) {
-      own += schedule.Due(TimePoint{} + seconds(second)) ? 1 : 0;
+      own += schedule.IsPollDue(TimePoint{} + seconds(second)) ? 1 : 0;
     }
     cr_assert(own >= 2 && own <= 5);
     polls += own;
--- a/packages/entry/src/backend_calls.cc
+++ b/packages/entry/src/backend_calls.cc
@@ -19,12 +19,13 @@
                        const HttpHeaders& headers) {
   AttemptAnswer answer;
   answer.attempt = attempt;
-  answer.echoed = AttemptId{NumberOf(FindHeader(headers, "x-attempt-id"))};
+  answer.echoed =
+      AttemptId{ParseLeadingNumber(FindHeader(headers, "x-attempt-id"))};
   answer.status = status;
-  answer.units = NumberOf(FindHeader(headers, "x-units"));
+  answer.units = ParseLeadingNumber(FindHeader(headers, "x-units"));
   const std::string_view load = FindHeader(headers, "x-load");
   answer.has_load = !load.empty();
-  answer.load = static_cast<std::uint32_t>(NumberOf(load));
+  answer.load = static_cast<std::uint32_t>(ParseLeadingNumber(load));
   answer.not_run = FindHeader(headers, "x-not-run") == "1";
   answer.leaving = FindHeader(headers, "x-leaving") == "1";
   return answer;
@@ -65,7 +66,7 @@
   Observer(BackendCalls& owner, AttemptId attempt)
       : owner_(owner), attempt_(attempt) {}
 
-  void OnWriting() override { owner_.coordinator_.OnWritten(attempt_); }
+  void OnConnected() override { owner_.coordinator_.OnWritten(attempt_); }
   void OnHead(int status, const HttpHeaders& headers) override {
     answer_ = AnswerOf(attempt_, status, headers);
   }
@@ -196,9 +197,9 @@
     calls_.erase(found);
     client_.Cancel(call);
   }
-  if (cancel.condemn_connections) {
-    client_.CondemnConnections(cancel.server->host.address,
-                               cancel.server->host.port);
+  if (cancel.close_idle_connections) {
+    client_.DiscardIdleConnections(cancel.server->host.address,
+                                   cancel.server->host.port);
   }
 }
 
--- a/packages/entry/src/cache_sync.cc
+++ b/packages/entry/src/cache_sync.cc
@@ -91,14 +91,14 @@
     if (item.second.asking) {
       client_.Cancel(item.second.call);
     }
-    caches_.Forget(item.first);
+    caches_.RemoveEngine(item.first);
     return true;
   });
 }
 
 bool CacheSync::IsFollowed(const Server& server,
                            const std::set<std::string>& pools) const {
-  return server.host.data_centre == data_centre_ && server.Accepts() &&
+  return server.host.data_centre == data_centre_ && server.IsAccepting() &&
          pools.contains(server.host.pool);
 }
 
@@ -107,7 +107,7 @@
   // engine would never be asked again; a new connection works.
   if (engine.asking && loop_.Now() >= engine.asked + kAnswersWithin) {
     client_.Cancel(engine.call);
-    client_.CondemnConnections(server.host.address, server.host.port);
+    client_.DiscardIdleConnections(server.host.address, server.host.port);
     engine.asking = false;
   }
 }
@@ -119,11 +119,11 @@
   call.path = "/v1/cache-events?after=" + std::to_string(engine.sequence);
   engine.asking = true;
   engine.asked = loop_.Now();
-  engine.call = client_.Call(
-      std::move(call),
-      CollectAnswer([this, name = server.host.name](const HttpResult& result) {
-        OnAnswer(name, result);
-      }));
+  engine.call = client_.Call(std::move(call),
+                             CollectResponse([this, name = server.host.name](
+                                                 const HttpResult& result) {
+                               OnAnswer(name, result);
+                             }));
 }
 
 void CacheSync::OnAnswer(const std::string& name, const HttpResult& result) {
@@ -132,14 +132,14 @@
     return;
   }
   found->second.asking = false;
-  if (!result.whole || result.status != kOk) {
+  if (!result.complete || result.status != kOk) {
     return;
   }
   try {
     TakeIn(name, found->second, result.body);
   } catch (const json::exception&) {
     // Not this protocol: what is believed of the cache can't be kept current.
-    caches_.Forget(name);
+    caches_.RemoveEngine(name);
     found->second = {};
   }
 }
@@ -152,7 +152,7 @@
   if (incarnation != engine.incarnation) {
     // Restarted: its numbers begin again, and its cache is empty. Asked for
     // what follows an old number it would leave out all that came before.
-    caches_.Forget(name);
+    caches_.RemoveEngine(name);
     const bool from_start = engine.sequence == 0;
     engine.incarnation = incarnation;
     engine.sequence = 0;
--- a/packages/entry/src/daemon.cc
+++ b/packages/entry/src/daemon.cc
@@ -21,7 +21,7 @@
 
 /// Service levels outlive the process, so their time is the wall clock's.
 TimePoint WallPoint(const EventLoop& loop) {
-  return TimePoint{Duration(loop.Wall())};
+  return TimePoint{Duration(loop.WallTime())};
 }
 
 }  // namespace
@@ -29,7 +29,7 @@
 Daemon::Daemon(EventLoop& loop, const Settings& settings)
     : loop_(loop),
       settings_(settings),
-      incarnation_(static_cast<std::uint64_t>(loop.Wall())),
+      incarnation_(static_cast<std::uint64_t>(loop.WallTime())),
       client_(loop),
       platform_(loop,
                 client_,
@@ -144,7 +144,7 @@
   while (std::exchange(touched_, false)) {
     const TimePoint now = loop_.Now();
     coordinator_.Advance(now);
-    coordinator_.PumpClaims(now);
+    coordinator_.ProcessClaims(now);
     claim_sync_.Pump();
     for (Action& action : coordinator_.TakeActions()) {
       touched_ = true;
@@ -191,7 +191,7 @@
       }
       daemon.caller_api_.Finish(finish);
     }
-    void operator()(const AskClaimer& ask) const { daemon.Ask(ask); }
+    void operator()(const QueryClaimHolder& ask) const { daemon.Ask(ask); }
     void operator()(const AnswerJoin& answer) const {
       daemon.peer_service_.Answer(answer);
     }
@@ -199,11 +199,11 @@
   std::visit(Visitor{*this}, action);
 }
 
-void Daemon::Ask(const AskClaimer& ask) {
+void Daemon::Ask(const QueryClaimHolder& ask) {
   constexpr Duration kAskTimeout = std::chrono::seconds(2);
   const auto done = [this, id = ask.request,
                      token = ask.claim.token](const JoinOutcome& outcome) {
-    coordinator_.OnClaimerAnswered(loop_.Now(), id, token, outcome);
+    coordinator_.OnClaimHolderAnswered(loop_.Now(), id, token, outcome);
     Touch();
   };
   if (ask.claim.daemon != settings_.get().getName().cStr()) {
@@ -226,7 +226,7 @@
 }
 
 void Daemon::PollConfig() {
-  if (!poll_schedule_.Due(loop_.Now())) {
+  if (!poll_schedule_.IsPollDue(loop_.Now())) {
     return;
   }
   config_sync_.Poll([this](bool answered) {
@@ -245,7 +245,7 @@
   order_sync_.SetHosts(backends);
   servers_.ApplyHostList(loop_.Now(), backends);
   for (const auto& gone : leaving_news_.OnHostList(loop_.Now(), backends)) {
-    servers_.ForgetLeaving(gone.server, gone.incarnation);
+    servers_.RemoveLeaving(gone.server, gone.incarnation);
   }
   peer_service_.NoteLeaving();
   coordinator_.OnServersChanged(loop_.Now());
@@ -310,7 +310,7 @@
       {"ready", Ready()},
       {"draining", draining_},
       {"revision", follower_.revision()},
-      {"highest_heard", follower_.highest_heard()},
+      {"highest_heard", follower_.highest_seen()},
       {"active", coordinator_.active()},
       {"queued", coordinator_.queued()},
       {"peers", peers_->peer_count()},
@@ -340,7 +340,7 @@
           {"revision", follower_.revision()},
           {"peer_revisions", peer_revisions_.ToJson(now)},
           {"counting_since_unix_micros", incarnation_},
-          {"at_unix_micros", loop_.Wall()},
+          {"at_unix_micros", loop_.WallTime()},
           {"attainment_target", settings_.get().getSlo().getAttainmentTarget()},
           {"services", ServicesReport(levels_, WallPoint(loop_))},
           {"stages", StagesReport(metrics_)},
--- a/packages/gateway/src/request_flow.cc
+++ b/packages/gateway/src/request_flow.cc
@@ -61,9 +61,9 @@
       exchange_(std::move(exchange)),
       table_(std::move(table)),
       request_(services.translator.ReadRequest(exchange_->head())),
-      began_(exchange_->began()) {
+      began_(exchange_->start_time()) {
   all.push_back(*this);
-  exchange_->SetOnGone([this] { OnCallerGone(); });
+  exchange_->SetOnDisconnect([this] { OnCallerGone(); });
 }
 
 RequestFlow::~RequestFlow() = default;
@@ -83,12 +83,12 @@
     return kind;
   }
   service_name_ = routing::PickService(*route_, DrawOf(request_.id));
-  service_ = table_->Service(service_name_);
+  service_ = table_->FindService(service_name_);
   fingerprint_ = FingerprintOf(request_.key.value_or(""),
                                exchange_->head().target, exchange_->body());
   const TimePoint now = services_.loop.Now();
   if (services_.suspects.IsQuarantined(now, fingerprint_) ||
-      services_.suspects.IsAccused(now, fingerprint_)) {
+      services_.suspects.IsQuarantinePending(now, fingerprint_)) {
     return ErrorKind::kOverloaded;
   }
   return std::nullopt;
@@ -101,7 +101,7 @@
   if (!request_.key || request_.has_odd_key) {
     return ErrorKind::kUnauthorised;
   }
-  organisation_ = table_->Holder(*request_.key);
+  organisation_ = table_->FindOrganisation(*request_.key);
   if (organisation_ == nullptr) {
     return ErrorKind::kUnauthorised;
   }
@@ -121,7 +121,8 @@
   }
   limit_timer_ = services_.loop.At(limit_, [this] { OnTimeout(); });
   stages_timer_ = services_.loop.At(StagesBy(), [this] { OnStagesOverdue(); });
-  if (const routing::Choice home = ChooseServer(); home.server != nullptr) {
+  if (const routing::ServerChoice home = ChooseServer();
+      home.server != nullptr) {
     home_ = home.server->record().data_centre;
   }
   TellAdmitted();
@@ -161,13 +162,13 @@
 }
 
 bool RequestFlow::RefusedForDrain() {
-  const routing::ServicePace& pace = services_.paces.Of(service_name_);
+  const routing::ServiceTimeEstimate& pace = services_.paces.Of(service_name_);
   const Duration answer =
       IsGeneration()
-          ? UsualFirstPart() + pace.Making(request_.prompt.tokens_out)
-          : pace.Work();
-  if (services_.drain.MayTake(services_.loop.Now(),
-                              stages_expected_ + answer)) {
+          ? UsualFirstPart() + pace.DecodeTime(request_.prompt.tokens_out)
+          : pace.ServiceTime();
+  if (services_.drain.CanAccept(services_.loop.Now(),
+                                stages_expected_ + answer)) {
     return false;
   }
   Refuse(ErrorKind::kShuttingDown, "the daemon stops before it could answer");
@@ -178,8 +179,8 @@
   if (route_->kind != routing::RouteKind::kStream) {
     return kLeastAnswer;
   }
-  const routing::ServicePace& pace = services_.paces.Of(service_name_);
-  return kLeastAnswer + pace.Making(TokensExpected());
+  const routing::ServiceTimeEstimate& pace = services_.paces.Of(service_name_);
+  return kLeastAnswer + pace.DecodeTime(TokensExpected());
 }
 
 double RequestFlow::TokensExpected() const {
@@ -190,15 +191,15 @@
   if (!IsGeneration()) {
     return kUsualAnswer;
   }
-  const routing::ServicePace& pace = services_.paces.Of(service_name_);
-  return pace.FirstEvent(request_.prompt.OwnTokens()) +
+  const routing::ServiceTimeEstimate& pace = services_.paces.Of(service_name_);
+  return pace.TimeToFirstEvent(request_.prompt.OwnTokens()) +
          services_.topology.RoundTrip(home_);
 }
 
 TimePoint RequestFlow::StagesBy() const {
   // The caller of a stream that goes on elsewhere waits from its last event.
   const TimePoint since = std::max(began_, last_part_at_);
-  const TimePoint first = since + route_->FirstPartWithin() - kUsualAnswer;
+  const TimePoint first = since + route_->FirstByteTimeout() - kUsualAnswer;
   return std::min(limit_ - LeastAnswer(), first);
 }
 
@@ -222,7 +223,7 @@
                          std::string_view detail,
                          std::optional<Duration> retry_after) {
   const ErrorAnswer answer = AnswerFor(kind);
-  const bool says_not_run = answer.work == WorkKnown::kNotRun;
+  const bool says_not_run = answer.work == ExecutionState::kNotRun;
   // An answer in the middle of a stream is no answer, and "not run" has to be
   // true: both come up when a broken run can't be made good.
   if (answer_begun_ || (says_not_run && may_have_run_)) {
@@ -232,7 +233,7 @@
   if (retry_after) {
     retry_after = std::clamp(*retry_after, kShortestWait, kLongestWait);
   }
-  exchange_->Answer(
+  exchange_->Respond(
       answer.http_status,
       services_.translator.OwnAnswerFields(request_.id, retry_after),
       ProblemBody(kind, detail, request_.id));
@@ -248,7 +249,7 @@
     return;
   }
   constexpr int kBadGateway = 502;
-  exchange_->Answer(
+  exchange_->Respond(
       kBadGateway,
       services_.translator.OwnAnswerFields(request_.id, std::nullopt),
       ProblemBody(kind, detail, request_.id));
@@ -266,7 +267,7 @@
     return;
   }
   if (server_ != nullptr) {
-    server_->history().OnBreak(services_.loop.Now());
+    server_->history().OnConnectionFailure(services_.loop.Now());
   }
   Refuse(ErrorKind::kDeadlineExceeded, "the time limit passed", std::nullopt);
 }
@@ -316,7 +317,7 @@
   if (send_ != nullptr) {
     send_->Drop();
   }
-  exchange_->SetOnGone(nullptr);
+  exchange_->SetOnDisconnect(nullptr);
 }
 
 }  // namespace gentianroute::gateway
--- a/packages/gateway/src/request_flow_stages.cc
+++ b/packages/gateway/src/request_flow_stages.cc
@@ -40,16 +40,16 @@
   group.inputs = plan_->InputsOf(stage);
   group.key = request_.stage_key;
   group.result_bytes = static_cast<double>(spec.result_bytes);
-  group.work = route_->name + ":" + std::to_string(stage);
+  group.work_class = route_->name + ":" + std::to_string(stage);
   // What comes after this stage has to fit behind it.
-  group.wanted = began_ + route_->target - UsualFirstPart() -
-                 services_.stages.UsualAfter(*plan_, stage);
+  group.soft_deadline = began_ + route_->target - UsualFirstPart() -
+                        services_.stages.UsualAfter(*plan_, stage);
   group.deadline = StagesBy() - services_.stages.LeastAfter(*plan_, stage);
   group.priority = organisation_ != nullptr && organisation_->priority
                        ? *organisation_->priority
                        : route_->priority;
   group.weight = weight_;
-  plan_->Begin(stage);
+  plan_->Start(stage);
   running_[stage] =
       services_.stages.Run(spec.service, std::move(group),
                            PlacedResults(spec.after, plan_->pieces(stage)),
@@ -65,7 +65,7 @@
   for (const std::uint32_t stage : stages) {
     const auto found = results_in_.find(stage);
     if (found != results_in_.end()) {
-      placed.push_back(routing::InputOf(
+      placed.push_back(routing::InputTransfer(
           found->second, static_cast<double>(plan_->spec(stage).result_bytes),
           plan_->pieces(stage), reading_pieces));
     }
@@ -77,7 +77,7 @@
   const Ptr keep(this);
   const auto hold = running_.extract(stage);
   LogEvent("stage_end")
-      .About(request_.id, LogWeight::kStep)
+      .ForRequest(request_.id, LogPriority::kLow)
       .Field("stage", stage)
       .Field("data_centre", outcome.data_centre)
       .Field("outcome", NameOf(outcome.group.failure))
@@ -88,7 +88,7 @@
   }
   results_in_[stage] = std::move(outcome.data_centre);
   plan_->Finish(stage, std::move(outcome.group.results));
-  Release(plan_->TakeSpent());
+  Release(plan_->TakeUnneeded());
   Advance();
 }
 
@@ -113,7 +113,7 @@
     return;
   }
   services_.journal.OnRepeat(request_.id, "stage", "", "an input is gone");
-  Release(plan_->RemakeInputsOf(stage));
+  Release(plan_->RecomputeInputs(stage));
   Advance();
 }
 
--- a/packages/gateway/src/stage_desk.cc
+++ b/packages/gateway/src/stage_desk.cc
@@ -67,7 +67,7 @@
 void StageDesk::SetTable(routing::RouteTablePtr table) {
   table_ = std::move(table);
   for (const auto& [key, pool] : pools_) {
-    const routing::ServiceSpec* spec = table_->Service(pool->service);
+    const routing::ServiceSpec* spec = table_->FindService(pool->service);
     if (spec != nullptr && spec->stage) {
       pool->pool.SetCapacity(*spec->stage);
     }
@@ -82,7 +82,7 @@
     return found->second.get();
   }
   const routing::ServiceSpec* spec =
-      table_ == nullptr ? nullptr : table_->Service(service);
+      table_ == nullptr ? nullptr : table_->FindService(service);
   if (spec == nullptr || !spec->stage) {
     return nullptr;
   }
@@ -113,7 +113,7 @@
 
 std::vector<routing::ServerPtr> StageDesk::ServersOf(const Pool& pool) const {
   std::vector<routing::ServerPtr> servers;
-  for (const routing::ServerPtr& server : servers_.In(pool.service)) {
+  for (const routing::ServerPtr& server : servers_.ServersOf(pool.service)) {
     if (server->record().data_centre == pool.data_centre) {
       servers.push_back(server);
     }
@@ -129,8 +129,8 @@
   Settle(pool);
   loop_.Cancel(pool.timer);
   if (pool.pool.waiting_pieces() > 0) {
-    pool.timer =
-        loop_.After(pool.pool.LookAgainIn(), [this, &pool] { Work(pool); });
+    pool.timer = loop_.After(pool.pool.NextDispatchDelay(),
+                             [this, &pool] { Work(pool); });
   }
 }
 
@@ -150,14 +150,14 @@
   // A server may send a second answer to a call, late. On a kept connection it
   // would arrive as the answer to the next call, whose pieces then got another
   // request's results; a stage answer bears no id that would tell.
-  out.reuse_within = Duration{0};
-  out.keep = false;
+  out.max_idle = Duration{0};
+  out.keep_connection = false;
   out.message = translator_.StageCallMessage(out.endpoint, server.id, pieces);
   ++calls_sent_;
   pieces_sent_ += pieces.size();
   TellCall(pool, call, pieces);
-  fetches_.Start(std::move(out), call.give_up_after,
-                 [this, &pool, id = call.id](const RelayFetchEnd& end) {
+  fetches_.Start(std::move(out), call.timeout,
+                 [this, &pool, id = call.id](const RelayFetchResult& end) {
                    OnCallEnd(pool, id, ReadEnd(pool, end));
                  });
 }
@@ -176,7 +176,8 @@
     }
   }
   LogEvent("stage_call")
-      .About(pieces.empty() ? "" : pieces.front().request, LogWeight::kStep)
+      .ForRequest(pieces.empty() ? "" : pieces.front().request,
+                  LogPriority::kLow)
       .Field("requests", requests)
       .Field("service", pool.service)
       .Field("server", call.server->record().id)
@@ -186,8 +187,8 @@
 }
 
 StageAnswer StageDesk::ReadEnd(const Pool& pool,
-                               const RelayFetchEnd& end) const {
-  if (end.whole) {
+                               const RelayFetchResult& end) const {
+  if (end.complete) {
     return translator_.ReadStageAnswer(end.head, end.body);
   }
   if (end.failure) {
@@ -196,7 +197,7 @@
         .Field("service", pool.service)
         .Field("sent", sent ? "yes" : "no");
   }
-  return {routing::CallEnd::kBroken, {}};
+  return {routing::CallStatus::kBroken, {}};
 }
 
 void StageDesk::OnCallEnd(Pool& pool,
@@ -218,7 +219,7 @@
 }
 
 void StageDesk::Settle(Pool& pool) {
-  for (routing::StageGroupEnd& end : pool.pool.TakeEnded()) {
+  for (routing::StageGroupResult& end : pool.pool.TakeFinished()) {
     const auto found = pool.waiting.find(end.group);
     if (found == pool.waiting.end()) {
       continue;
--- a/packages/loop/src/event_loop.cc
+++ b/packages/loop/src/event_loop.cc
@@ -22,7 +22,7 @@
 namespace {
 
 constexpr int kBacklog = 1024;
-constexpr std::int32_t kLongestWaitMilliseconds = 1000;
+constexpr std::int32_t kMaxWaitMilliseconds = 1000;
 
 std::int64_t NanosOf(clockid_t clock) {
   constexpr std::int64_t kNanosPerSecond = 1'000'000'000;
@@ -33,35 +33,35 @@
 
 }  // namespace
 
-class EventLoop::Port final : public kj::EventPort {
+class EventLoop::H2oEventPort final : public kj::EventPort {
  public:
-  explicit Port(EventLoop& loop) : loop_(loop) {}
+  explicit H2oEventPort(EventLoop& loop) : loop_(loop) {}
 
   bool wait() override {
-    FinishWrites();
+    RunWriteCallbacks();
     RunOnce(loop_.MaxWaitMilliseconds());
     return false;
   }
   bool poll() override {
-    FinishWrites();
+    RunWriteCallbacks();
     RunOnce(0);
     return false;
   }
 
  private:
-  void RunOnce(std::int32_t longest_wait_ms) {
-    h2o_evloop_run(loop_.h2o_, longest_wait_ms);
+  void RunOnce(std::int32_t max_wait_ms) {
+    h2o_evloop_run(loop_.h2o_, max_wait_ms);
     loop_.RunDueTimers();
   }
-  /// Calls back for the writes that timers and promises have made since.
+  /// Runs the pending callbacks of writes made by timers and promises.
   ///
-  /// h2o frees closed sockets first in each round, and expects that none of
-  /// them waits for such a call, as all its own callbacks run within a round. A
-  /// timer that wrote to a socket and closed it left a freed one in that list:
-  /// when its memory was used again the loop went round for ever, or it
-  /// crashed. With the list empty before each round nothing freed is left in
-  /// it.
-  void FinishWrites() { h2o_timeout__do_post_callback(loop_.h2o_); }
+  /// h2o frees closed sockets at the start of each loop iteration and assumes
+  /// that none of them has a pending write callback, since its own callbacks
+  /// all run within an iteration. A timer that writes to a socket and closes it
+  /// would leave a dangling pointer in the list of pending callbacks, which
+  /// causes an infinite loop or a crash once the memory is reused. Emptying the
+  /// list before each iteration prevents that.
+  void RunWriteCallbacks() { h2o_timeout__do_post_callback(loop_.h2o_); }
 
   EventLoop& loop_;
 };
@@ -92,8 +92,8 @@
       return;
     }
     auto* self = static_cast<H2oListener*>(listener->data);
-    constexpr int kAcceptsPerWake = 32;
-    for (int i = 0; i < kAcceptsPerWake; ++i) {
+    constexpr int kMaxAcceptsPerEvent = 32;
+    for (int i = 0; i < kMaxAcceptsPerEvent; ++i) {
       h2o_socket_t* accepted = h2o_evloop_socket_accept(listener);
       if (accepted == nullptr) {
         return;
@@ -109,9 +109,9 @@
 
 int BindAndListen(std::string_view address, std::uint16_t port) {
   const std::string host(address);
-  auto target = Ipv4Address(address, port);
+  auto target = ParseIpv4Address(address, port);
   if (!target) {
-    throw std::runtime_error("'" + host + "' is not an IP number");
+    throw std::runtime_error("'" + host + "' is not an IPv4 address");
   }
   const int fd = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
   const int on = 1;
@@ -123,7 +123,7 @@
   if (!ready) {
     const std::string reason = std::strerror(errno);
     close(fd);
-    throw std::runtime_error("can't listen on " + host + ":" +
+    throw std::runtime_error("cannot listen on " + host + ":" +
                              std::to_string(port) + ": " + reason);
   }
   return fd;
@@ -145,8 +145,8 @@
 EventLoop::EventLoop()
     : h2o_(h2o_evloop_create()),
       started_nanos_(NanosOf(CLOCK_MONOTONIC)),
-      port_(std::make_unique<Port>(*this)),
-      kj_loop_(std::make_unique<kj::EventLoop>(*port_)),
+      event_port_(std::make_unique<H2oEventPort>(*this)),
+      kj_loop_(std::make_unique<kj::EventLoop>(*event_port_)),
       wait_scope_(std::make_unique<kj::WaitScope>(*kj_loop_)) {
   signal(SIGPIPE, SIG_IGN);
 }
@@ -159,7 +159,7 @@
       Duration((NanosOf(CLOCK_MONOTONIC) - started_nanos_) / kNanosPerMicro));
 }
 
-UnixMicros EventLoop::Wall() const {
+UnixMicros EventLoop::WallTime() const {
   constexpr std::int64_t kNanosPerMicro = 1000;
   return NanosOf(CLOCK_REALTIME) / kNanosPerMicro;
 }
@@ -209,16 +209,17 @@
 }
 
 std::int32_t EventLoop::MaxWaitMilliseconds() const {
-  // A write that completes at once from a timer or a promise leaves its
-  // callback pending, and h2o polls before it runs what is pending: without
-  // this the end of an answer waited for the next event, up to a second.
+  // A write from a timer or a promise that completes at once leaves its
+  // callback pending, and h2o polls before it runs pending callbacks. Without
+  // this check the end of a response would wait for the next event, up to
+  // kMaxWaitMilliseconds.
   const bool pending = h2o_->_pending_as_client != nullptr ||
                        h2o_->_pending_as_server != nullptr;
   if (pending) {
     return 0;
   }
   if (timers_.empty()) {
-    return kLongestWaitMilliseconds;
+    return kMaxWaitMilliseconds;
   }
   const Duration left = timers_.begin()->first - Now();
   if (left.count() <= 0) {
@@ -227,10 +228,10 @@
   const auto rounded_up =
       std::chrono::ceil<std::chrono::milliseconds>(left).count();
   return static_cast<std::int32_t>(
-      std::min<std::int64_t>(rounded_up, kLongestWaitMilliseconds));
+      std::min<std::int64_t>(rounded_up, kMaxWaitMilliseconds));
 }
 
-void EventLoop::HoldSignals(std::initializer_list<int> signals) {
+void EventLoop::BlockSignals(std::initializer_list<int> signals) {
   sigset_t set;
   sigemptyset(&set);
   for (const int number : signals) {
@@ -240,14 +241,15 @@
 }
 
 void EventLoop::OnSignal(int number, Callback callback) {
-  HoldSignals({number});
+  BlockSignals({number});
   sigset_t set;
   sigemptyset(&set);
   sigaddset(&set, number);
   const int fd = signalfd(-1, &set, SFD_NONBLOCK | SFD_CLOEXEC);
   h2o_socket_t* socket =
       h2o_evloop_socket_create(h2o_, fd, H2O_SOCKET_FLAG_DONT_READ);
-  // Lives as long as the process: signals are watched once, at the start.
+  // Never freed: signal callbacks are registered once, at startup, and stay for
+  // the lifetime of the process.
   socket->data = new SignalWatch{std::move(callback)};
   h2o_socket_read_start(socket, &OnSignalReadable);
 }
--- a/packages/observe/include/gentianroute/observe/metric_writer.h
+++ b/packages/observe/include/gentianroute/observe/metric_writer.h
@@ -15,32 +15,34 @@
 
 /// @brief Writes the Prometheus text format, version 0.0.4.
 ///
-/// All samples of a metric follow its one heading, as the format demands.
+/// As the format requires, a metric's HELP and TYPE lines come once, directly
+/// before all of its samples.
 class MetricWriter {
  public:
+  /// @brief Starts a metric: writes its HELP and TYPE lines.
   /// @param type `counter`, `gauge` or `histogram`
-  void Heading(std::string_view name,
-               std::string_view type,
-               std::string_view help);
-  void Sample(std::string_view name,
-              std::span<const MetricLabel> labels,
-              double value);
-  void Sample(std::string_view name,
-              std::span<const MetricLabel> labels,
-              std::uint64_t value);
+  void AddMetric(std::string_view name,
+                 std::string_view type,
+                 std::string_view help);
+  void AddSample(std::string_view name,
+                 std::span<const MetricLabel> labels,
+                 double value);
+  void AddSample(std::string_view name,
+                 std::span<const MetricLabel> labels,
+                 std::uint64_t value);
 
   const std::string& text() const { return text_; }
 
  private:
-  void Line(std::string_view name,
-            std::span<const MetricLabel> labels,
-            const std::string& value);
+  void AppendLine(std::string_view name,
+                  std::span<const MetricLabel> labels,
+                  const std::string& value);
 
   std::string text_;
 };
 
-/// @brief A number in its shortest form that reads back as the same.
-std::string MetricNumber(double value);
+/// @brief Shortest decimal form that parses back to the same value.
+std::string FormatMetricNumber(double value);
 
 }  // namespace gentianroute
 
--- a/packages/routing/tests/routing_fixture.h
+++ b/packages/routing/tests/routing_fixture.h
@@ -31,51 +31,54 @@
   return Topology("north", {{"north", "N"}, {"north-b", "N"}, {"south", "S"}});
 }
 
-/// A stage pool with the figures of the deployments' sheets.
+/// A stage pool with the call and piece times specified for the target
+/// deployments.
 struct PoolFixture {
   StageCapacity capacity;
   StagePool pool;
   std::vector<ServerPtr> servers;
 
-  explicit PoolFixture(std::uint32_t batch = 10, double room_bytes = 0)
-      : capacity(CapacityOf(batch, room_bytes)), pool(capacity) {}
+  explicit PoolFixture(std::uint32_t batch = 10,
+                       double result_storage_bytes = 0)
+      : capacity(CapacityOf(batch, result_storage_bytes)), pool(capacity) {}
 
-  static StageCapacity CapacityOf(std::uint32_t batch, double room_bytes) {
+  static StageCapacity CapacityOf(std::uint32_t batch,
+                                  double result_storage_bytes) {
     StageCapacity capacity;
     capacity.batch = batch;
-    capacity.call = 150 * kMs;
-    capacity.piece = 13 * kMs;
-    capacity.room_bytes = room_bytes;
-    capacity.result_life = std::chrono::seconds(4);
+    capacity.call_overhead = 150 * kMs;
+    capacity.piece_time = 13 * kMs;
+    capacity.result_storage_bytes = result_storage_bytes;
+    capacity.result_lifetime = std::chrono::seconds(4);
     return capacity;
   }
 
   StageGroupId Submit(const std::string& request,
                       std::uint32_t pieces,
-                      Duration wanted_in = std::chrono::seconds(2),
+                      Duration due_in = std::chrono::seconds(2),
                       std::uint32_t priority = 0,
                       double result_bytes = 0,
                       TimePoint now = kStart) {
     StageGroup group;
     group.request = request;
     group.pieces = pieces;
-    group.work = "route:0";
-    group.wanted = now + wanted_in;
+    group.work_class = "route:0";
+    group.soft_deadline = now + due_in;
     group.deadline = now + std::chrono::seconds(6);
     group.priority = priority;
     group.result_bytes = result_bytes;
     return pool.Submit(now, group);
   }
 
-  /// Ends a call with a result for each piece, named by group and segment.
+  /// Completes a call with one result for each piece, named "group.segment".
   void Answer(const StageCall& call, TimePoint now) {
     std::vector<PieceResult> results;
     for (const StagePiece& piece : call.pieces) {
-      results.push_back({PieceEnd::kDone, std::to_string(piece.group.value) +
-                                              "." +
-                                              std::to_string(piece.segment)});
+      results.push_back(
+          {PieceStatus::kDone, std::to_string(piece.group.value) + "." +
+                                   std::to_string(piece.segment)});
     }
-    pool.OnCallEnd(now, call.id, CallEnd::kAnswered, results);
+    pool.OnCallEnd(now, call.id, CallStatus::kAnswered, results);
   }
 };
 
--- a/packages/routing/tests/directory_test.cc
+++ b/packages/routing/tests/server_directory_test.cc
@@ -9,9 +9,10 @@
 
 namespace {
 
-ServerRecord Record(const std::string& id, std::int64_t born = 1) {
+ServerRecord Record(const std::string& id,
+                    std::int64_t started_at_unix_ms = 1) {
   ServerRecord record = MakeServer(id)->record();
-  record.born = born;
+  record.started_at_unix_ms = started_at_unix_ms;
   return record;
 }
 
@@ -26,9 +27,9 @@
   cr_assert_not(servers.Find("a")->open());
 }
 
-// A server starts again under its old id: it holds nothing of before, so what
-// was known of the earlier start must not count for it.
-Test(server_directory, another_start_is_another_server) {
+// A restarted server keeps its id but has lost its state, so nothing recorded
+// for the earlier incarnation may apply to it.
+Test(server_directory, new_incarnation_is_another_server) {
   ServerDirectory servers;
   servers.Put(Record("a", 1));
   const ServerPtr before(servers.Find("a"));
@@ -45,36 +46,36 @@
   ServerRecord moved = Record("a");
   moved.service = "other";
   servers.Put(moved);
-  cr_assert(servers.In("stage").empty());
-  cr_assert_eq(servers.In("other").size(), 1);
+  cr_assert(servers.ServersOf("stage").empty());
+  cr_assert_eq(servers.ServersOf("other").size(), 1);
 }
 
-Test(server_directory, removed_server_is_gone) {
+Test(server_directory, removed_server_is_not_listed) {
   ServerDirectory servers;
   servers.Put(Record("a"));
   servers.Remove(kStart, "a");
-  cr_assert(servers.In("stage").empty());
+  cr_assert(servers.ServersOf("stage").empty());
 }
 
-// The store was away, nobody could renew an entry, and a living server's has
-// lapsed: callers would be told that no server exists. It is written again
-// within two seconds of the store's return.
-Test(server_directory, lapsed_server_stays_until_it_had_time_to_return) {
+// Entries of live servers expire during a store outage because they can't be
+// renewed. Dropping them at once would leave callers without a server; servers
+// register again within two seconds of the end of the outage.
+Test(server_directory, expired_server_stays_during_the_grace_period) {
   ServerDirectory servers;
   servers.Put(Record("a"));
-  servers.OnStoreReturned(kStart);
+  servers.OnStoreRecovered(kStart);
   servers.Remove(kStart + 10 * kMs, "a");
-  cr_assert_eq(servers.In("stage").size(), 1);
+  cr_assert_eq(servers.ServersOf("stage").size(), 1);
   servers.Put(Record("a"));
   servers.Expire(kStart + std::chrono::seconds(3));
-  cr_assert_eq(servers.In("stage").size(), 1);
+  cr_assert_eq(servers.ServersOf("stage").size(), 1);
 }
 
-Test(server_directory, lapsed_server_that_does_not_return_is_gone) {
+Test(server_directory, expired_server_without_renewal_is_removed) {
   ServerDirectory servers;
   servers.Put(Record("a"));
-  servers.OnStoreReturned(kStart);
+  servers.OnStoreRecovered(kStart);
   servers.Remove(kStart + 10 * kMs, "a");
   servers.Expire(kStart + std::chrono::seconds(2));
-  cr_assert(servers.In("stage").empty());
+  cr_assert(servers.ServersOf("stage").empty());
 }
--- a/packages/routing/tests/stage_plan_test.cc
+++ b/packages/routing/tests/stage_plan_test.cc
@@ -6,7 +6,8 @@
 
 namespace {
 
-/// The deployments' widest graph: a chain of three, and one stage beside it.
+/// The widest stage graph of the target deployments: a chain of three stages
+/// and one parallel stage.
 std::vector<StageSpec> ChatStages() {
   return {{"wide", {}, 3'000'000},
           {"first", {}, 8'000},
@@ -16,20 +17,20 @@
 
 }  // namespace
 
-Test(stage_plan, chain_goes_one_by_one) {
+Test(stage_plan, chain_runs_in_sequence) {
   const auto stages = ChatStages();
   const std::vector<std::uint32_t> pieces = {0, 1, 8, 16};
   StagePlan plan(stages, pieces);
   cr_assert_eq(plan.Ready(), std::vector<std::uint32_t>{1});
-  plan.Begin(1);
+  plan.Start(1);
   cr_assert(plan.Ready().empty());
   plan.Finish(1, {"a"});
   cr_assert_eq(plan.Ready(), std::vector<std::uint32_t>{2});
   cr_assert_eq(plan.InputsOf(2), std::vector<std::string>{"a"});
 }
 
-// A large result that waits for a slow chain fills its server meanwhile, and
-// other requests' pieces find no room there.
+// A large result that waits for a slow chain fills the storage of its server,
+// which pieces of other requests need.
 Test(stage_plan, stage_beside_a_chain_begins_with_its_last_stage) {
   const auto stages = ChatStages();
   const std::vector<std::uint32_t> pieces = {2, 1, 8, 16};
@@ -47,7 +48,7 @@
   cr_assert(StagePlan(stages, {}).complete());
 }
 
-Test(stage_plan, own_call_reads_what_no_stage_reads) {
+Test(stage_plan, own_call_reads_results_that_no_stage_reads) {
   const auto stages = ChatStages();
   const std::vector<std::uint32_t> pieces = {1, 1, 1, 1};
   StagePlan plan(stages, pieces);
@@ -59,30 +60,30 @@
   cr_assert_eq(plan.FinalInputs(), (std::vector<std::string>{"w", "c"}));
 }
 
-Test(stage_plan, results_are_spent_once_their_reader_is_done) {
+Test(stage_plan, results_are_unneeded_once_their_reader_is_done) {
   const auto stages = ChatStages();
   const std::vector<std::uint32_t> pieces = {0, 1, 1, 1};
   StagePlan plan(stages, pieces);
   plan.Finish(1, {"a"});
-  cr_assert(plan.TakeSpent().empty());
+  cr_assert(plan.TakeUnneeded().empty());
   plan.Finish(2, {"b"});
-  const auto spent = plan.TakeSpent();
+  const auto spent = plan.TakeUnneeded();
   cr_assert_eq(spent.size(), 1);
   cr_assert_eq(spent[0].results, std::vector<std::string>{"a"});
 }
 
-// The caller sees a slower answer. A result died with its server after the one
-// before it had been released, so the whole way to it is made again; a stage
-// must never run with a part of its inputs.
-Test(stage_plan, lost_result_is_made_again_with_all_before_it) {
+// A result was lost with its server after the inputs of its stage had been
+// released, so the whole chain up to it must run again. A stage must never run
+// with only some of its inputs.
+Test(stage_plan, lost_result_is_recomputed_with_its_inputs) {
   const auto stages = ChatStages();
   const std::vector<std::uint32_t> pieces = {0, 1, 1, 1};
   StagePlan plan(stages, pieces);
   plan.Finish(1, {"a"});
   plan.Finish(2, {"b"});
-  plan.TakeSpent();
-  plan.Begin(3);
-  plan.RemakeInputsOf(3);
+  plan.TakeUnneeded();
+  plan.Start(3);
+  plan.RecomputeInputs(3);
   cr_assert_eq(plan.Ready(), std::vector<std::uint32_t>{1});
   plan.Finish(1, {"a2"});
   cr_assert_eq(plan.Ready(), std::vector<std::uint32_t>{2});
@@ -91,13 +92,13 @@
   cr_assert_eq(plan.Ready(), std::vector<std::uint32_t>{3});
 }
 
-Test(stage_plan, results_read_by_the_own_call_are_made_again_for_another_run) {
+Test(stage_plan, inputs_of_the_own_call_are_recomputed_for_another_attempt) {
   const auto stages = ChatStages();
   const std::vector<std::uint32_t> pieces = {1, 0, 0, 0};
   StagePlan plan(stages, pieces);
   plan.Finish(0, {"w"});
   plan.TakeAll();
-  plan.RemakeInputsOf(static_cast<std::uint32_t>(plan.stages()));
+  plan.RecomputeInputs(static_cast<std::uint32_t>(plan.stages()));
   cr_assert_not(plan.complete());
   cr_assert_eq(plan.Ready(), std::vector<std::uint32_t>{0});
 }
--- a/packages/schema/src/settings.cc
+++ b/packages/schema/src/settings.cc
@@ -8,25 +8,25 @@
 namespace gentianroute {
 namespace {
 
-leaf::result<void> CheckOrganisationsAreUnique(
-    std::string_view file,
-    schema::Settings::Reader settings) {
+leaf::result<void> CheckUniqueOrganisations(std::string_view file,
+                                            schema::Settings::Reader settings) {
   std::set<std::string> seen;
   std::size_t index = 0;
   for (const auto organisation : settings.getOrganisations()) {
     const std::string name = organisation.getName().cStr();
     if (!seen.insert(name).second) {
-      return leaf::new_error(SchemaError{
-          std::string(file),
-          "organisations[" + std::to_string(index) + "].name",
-          "'" + name + "' a second time", "a name that stands once"});
+      return leaf::new_error(
+          SchemaError{std::string(file),
+                      "organisations[" + std::to_string(index) + "].name",
+                      "'" + name + "' more than once", "a unique name"});
     }
     ++index;
   }
   return {};
 }
 
-/// One file without the other would leave the listener without TLS.
+/// TLS needs both files; with only one, the listener would silently serve
+/// plain text.
 leaf::result<void> CheckTlsFiles(std::string_view file,
                                  const std::string& path,
                                  schema::Listener::Reader listener) {
@@ -36,14 +36,14 @@
     return {};
   }
   const std::string missing = certificate ? "keyFile" : "certificateFile";
-  const std::string named = certificate ? "certificateFile" : "keyFile";
-  return leaf::new_error(SchemaError{std::string(file), path + "." + missing,
-                                     "nothing",
-                                     "a file, since " + named + " is named"});
+  const std::string present = certificate ? "certificateFile" : "keyFile";
+  return leaf::new_error(
+      SchemaError{std::string(file), path + "." + missing, "nothing",
+                  "a file name, since " + present + " is set"});
 }
 
-leaf::result<void> CheckKeysAreUnique(std::string_view file,
-                                      schema::Settings::Reader settings) {
+leaf::result<void> CheckUniqueKeys(std::string_view file,
+                                   schema::Settings::Reader settings) {
   std::set<std::string> seen;
   std::size_t organisation_index = 0;
   for (const auto organisation : settings.getOrganisations()) {
@@ -54,7 +54,7 @@
             std::string(file),
             "organisations[" + std::to_string(organisation_index) + "].keys[" +
                 std::to_string(key_index) + "].sha256",
-            "a digest that stands twice", "one organisation for each key"});
+            "a duplicate digest", "a digest that no other key has"});
       }
       ++key_index;
     }
@@ -70,12 +70,12 @@
   Settings settings;
   auto root = settings.message_->initRoot<schema::Settings>();
   BOOST_LEAF_CHECK(DecodeChecked(file, text, root));
-  const auto read = settings.get();
-  BOOST_LEAF_CHECK(CheckOrganisationsAreUnique(file, read));
-  BOOST_LEAF_CHECK(CheckKeysAreUnique(file, read));
-  BOOST_LEAF_CHECK(CheckTlsFiles(file, "callers", read.getCallers()));
-  BOOST_LEAF_CHECK(CheckTlsFiles(file, "operators", read.getOperators()));
-  BOOST_LEAF_CHECK(CheckTlsFiles(file, "peers", read.getPeers()));
+  const auto reader = settings.get();
+  BOOST_LEAF_CHECK(CheckUniqueOrganisations(file, reader));
+  BOOST_LEAF_CHECK(CheckUniqueKeys(file, reader));
+  BOOST_LEAF_CHECK(CheckTlsFiles(file, "callers", reader.getCallers()));
+  BOOST_LEAF_CHECK(CheckTlsFiles(file, "operators", reader.getOperators()));
+  BOOST_LEAF_CHECK(CheckTlsFiles(file, "peers", reader.getPeers()));
   return settings;
 }
 
--- a/standins/backend.cc
+++ b/standins/backend.cc
@@ -53,7 +53,7 @@
 Backend::Backend(EventLoop& loop, Options options)
     : loop_(loop),
       options_(std::move(options)),
-      incarnation_(static_cast<std::uint64_t>(loop.Wall())),
+      incarnation_(static_cast<std::uint64_t>(loop.WallTime())),
       cache_(options_.cache_entries),
       server_(loop,
               {.port = options_.port},
@@ -117,7 +117,7 @@
 
 bool Backend::Unreachable(const HttpRequest& request,
                           HttpResponder& responder) const {
-  if (faults_.Silent(request.connection)) {
+  if (faults_.Silent(request.connection_id)) {
     return true;
   }
   if (faults_.outage) {
@@ -162,7 +162,7 @@
 
 void Backend::Control(const HttpRequest& request, HttpResponder& responder) {
   if (request.path == "/control/faults") {
-    faults_.Update(json::parse(request.body), request.connection);
+    faults_.Update(json::parse(request.body), request.connection_id);
     responder.Send({200, {}, "{}"});
     return;
   }
@@ -175,7 +175,7 @@
 
 HttpHeaders Backend::AnswerHeaders(const HttpRequest& request) const {
   const std::uint64_t attempt =
-      NumberOf(FindHeader(request.headers, "x-attempt-id"));
+      ParseLeadingNumber(FindHeader(request.headers, "x-attempt-id"));
   const std::uint32_t load =
       options_.load_lag_ms > 0 ? reported_load_ : in_flight_;
   return {{"content-type", "application/json"},
@@ -220,10 +220,12 @@
   ++in_flight_;
   auto stream = std::make_shared<Stream>();
   stream->responder = responder;
-  stream->attempt = NumberOf(FindHeader(request.headers, "x-attempt-id"));
+  stream->attempt =
+      ParseLeadingNumber(FindHeader(request.headers, "x-attempt-id"));
   stream->attempt += faults_.crossed ? 1 : 0;
-  stream->offset = NumberOf(FindHeader(request.headers, "x-resume-offset"));
-  responder->OnGone([stream] { stream->gone = true; });
+  stream->offset =
+      ParseLeadingNumber(FindHeader(request.headers, "x-resume-offset"));
+  responder->SetOnDisconnect([stream] { stream->gone = true; });
   HttpHeaders headers = AnswerHeaders(request);
   headers.front().value = "text/event-stream";
   loop_.After(TimeToFirstToken(request),
@@ -252,7 +254,9 @@
   constexpr std::string_view kAfter = "after=";
   const std::string_view query = request.query;
   const std::uint64_t after =
-      query.starts_with(kAfter) ? NumberOf(query.substr(kAfter.size())) : 0;
+      query.starts_with(kAfter)
+          ? ParseLeadingNumber(query.substr(kAfter.size()))
+          : 0;
   const json body = {{"incarnation", incarnation_},
                      {"events", cache_.EventsAfter(after)}};
   responder.Send({200, {{"content-type", "application/json"}}, body.dump()});
--- a/tests/random/world.cc
+++ b/tests/random/world.cc
@@ -144,7 +144,7 @@
   Coordinator& coordinator = daemon.core->coordinator;
   coordinator.Advance(events_.now());
   for (bool busy = true; busy && daemon.id == id;) {
-    coordinator.PumpClaims(events_.now());
+    coordinator.ProcessClaims(events_.now());
     busy = StepStore(daemon);
     for (const Action& action : coordinator.TakeActions()) {
       busy = true;
@@ -156,10 +156,11 @@
 
 bool World::StepStore(Daemon& daemon) {
   const DaemonId id = daemon.id;
-  const std::vector<ClaimStep> steps = daemon.core->claims.TakeSteps();
-  for (const ClaimStep& step : steps) {
-    const std::uint64_t number = step.step;
-    if (step.kind == ClaimStep::Kind::kRead) {
+  const std::vector<ClaimOperation> steps =
+      daemon.core->claims.TakeOperations();
+  for (const ClaimOperation& step : steps) {
+    const std::uint64_t number = step.id;
+    if (step.kind == ClaimOperation::Kind::kRead) {
       store_.Read(step.reads, [this, id, number](const ReadResult& result) {
         Receive(id, [this, id, number, result](Coordinator&, TimePoint now) {
           daemons_[id.index].core->claims.OnRead(now, number, result);
@@ -284,26 +285,26 @@
 }
 
 void World::CheckError(Arrival& arrival, const FinishRequest& finish) {
-  const WorkKnown work = AnswerFor(*finish.error).work;
+  const ExecutionState work = AnswerFor(*finish.error).work;
   arrival.failed_as = work;
-  Expect(work != WorkKnown::kNotRun || arrival.runs == 0,
+  Expect(work != ExecutionState::kNotRun || arrival.runs == 0,
          "a refusal says not run, and it ran", arrival);
-  Expect(work == WorkKnown::kUnknown || arrival.effects == 0,
+  Expect(work == ExecutionState::kUnknown || arrival.effects == 0,
          "an effect took place and is not said to be unknown", arrival);
   report_.innocent_quarantined +=
       finish.error == ErrorKind::kQuarantined && !arrival.IsPoison() ? 1 : 0;
-  report_.not_run += work == WorkKnown::kNotRun ? 1 : 0;
-  report_.unknown += work == WorkKnown::kUnknown ? 1 : 0;
+  report_.not_run += work == ExecutionState::kNotRun ? 1 : 0;
+  report_.unknown += work == ExecutionState::kUnknown ? 1 : 0;
 }
 
-void World::Do(Daemon& daemon, const AskClaimer& ask) {
+void World::Do(Daemon& daemon, const QueryClaimHolder& ask) {
   const DaemonId asker = daemon.id;
   const std::string token = ask.claim.token;
   const auto answer = [this, asker, request = ask.request,
                        token](const JoinOutcome& outcome) {
     Deliver(asker,
             [request, token, outcome](Coordinator& coordinator, TimePoint now) {
-              coordinator.OnClaimerAnswered(now, request, token, outcome);
+              coordinator.OnClaimHolderAnswered(now, request, token, outcome);
             });
   };
   // The asker gives up on a peer that is cut off or frozen; the peer's own
@@ -352,7 +353,7 @@
   Arrival& arrival = arrivals_.at({call.from, call.request});
   Expect(call.marker == arrival.body_marker, "a call crossed", arrival);
   ++arrival.runs;
-  Expect(arrival.failed_as != WorkKnown::kNotRun,
+  Expect(arrival.failed_as != ExecutionState::kNotRun,
          "it ran after a refusal that says not run", arrival);
   if (call.stage != "order") {
     return;
@@ -360,7 +361,7 @@
   ++report_.effects;
   Expect(++arrival.effects == 1, "an effect ran twice", arrival);
   Expect(!arrival.failed_as.has_value() ||
-             arrival.failed_as == WorkKnown::kUnknown,
+             arrival.failed_as == ExecutionState::kUnknown,
          "an effect after an error that excludes it", arrival);
   Expect(arrival.key.empty() || ++effects_[arrival.key] == 1,
          "an effect ran twice for one key", arrival);
