--- a/packages/gateway/src/request_journal.cc
+++ b/packages/gateway/src/request_journal.cc
@@ -19,7 +19,7 @@
 
 void RequestJournal::OnAdmitted(const RequestAdmitted& admitted) {
   LogEvent("request_admitted")
-      .About(admitted.id, LogWeight::kStep)
+      .ForRequest(admitted.id, LogPriority::kLow)
       .Field("route", admitted.route)
       .Field("organisation", admitted.organisation)
       .Field("version", admitted.deployment_version)
@@ -31,7 +31,7 @@
 
 void RequestJournal::OnSent(const RequestSent& sent) {
   LogEvent("request_sent")
-      .About(sent.id, LogWeight::kStep)
+      .ForRequest(sent.id, LogPriority::kLow)
       .Field("server", sent.server)
       .Field("data_centre", sent.data_centre)
       .Field("server_calls", static_cast<std::int64_t>(sent.server_calls))
@@ -52,8 +52,8 @@
   }
   LogEvent event("request_end");
   event
-      .About(end.id,
-             EndsWell(end.outcome) ? LogWeight::kSuccess : LogWeight::kState)
+      .ForRequest(end.id, EndsWell(end.outcome) ? LogPriority::kNormal
+                                                : LogPriority::kHigh)
       .Field("route", end.route)
       .Field("organisation", end.organisation)
       .Field("outcome", end.outcome)
@@ -76,33 +76,33 @@
                               std::string_view reason) {
   ++repeats_[std::string(what)];
   LogEvent("request_repeat", LogLevel::kWarning)
-      .About(id, LogWeight::kState)
+      .ForRequest(id, LogPriority::kHigh)
       .Field("what", what)
       .Field("server", server)
       .Field("reason", reason);
 }
 
 void RequestJournal::Write(MetricWriter& writer) const {
-  writer.Heading("gentianroute_gateway_requests_total", "counter",
-                 "Requests by how they ended.");
+  writer.AddMetric("gentianroute_gateway_requests_total", "counter",
+                   "Requests by how they ended.");
   for (const auto& [outcome, count] : outcomes_) {
     const MetricLabel label{"outcome", outcome};
-    writer.Sample("gentianroute_gateway_requests_total", {&label, 1}, count);
+    writer.AddSample("gentianroute_gateway_requests_total", {&label, 1}, count);
   }
-  writer.Heading("gentianroute_gateway_repeats_total", "counter",
-                 "Work that was done once more, by what it was.");
+  writer.AddMetric("gentianroute_gateway_repeats_total", "counter",
+                   "Work that was done once more, by what it was.");
   for (const auto& [what, count] : repeats_) {
     const MetricLabel label{"what", what};
-    writer.Sample("gentianroute_gateway_repeats_total", {&label, 1}, count);
+    writer.AddSample("gentianroute_gateway_repeats_total", {&label, 1}, count);
   }
-  writer.Heading("gentianroute_gateway_first_seconds", "histogram",
-                 "Time to the first part of an answer.");
+  writer.AddMetric("gentianroute_gateway_first_seconds", "histogram",
+                   "Time to the first part of an answer.");
   for (std::size_t i = 0; i < kKinds; ++i) {
     const MetricLabel label{"kind", kKindNames[i]};
     first_[i].Write(writer, "gentianroute_gateway_first_seconds", {&label, 1});
   }
-  writer.Heading("gentianroute_gateway_total_seconds", "histogram",
-                 "Time to the end of an answer.");
+  writer.AddMetric("gentianroute_gateway_total_seconds", "histogram",
+                   "Time to the end of an answer.");
   for (std::size_t i = 0; i < kKinds; ++i) {
     const MetricLabel label{"kind", kKindNames[i]};
     total_[i].Write(writer, "gentianroute_gateway_total_seconds", {&label, 1});
--- a/packages/observe/src/log_timeline.cc
+++ b/packages/observe/src/log_timeline.cc
@@ -7,10 +7,11 @@
 namespace gentianroute {
 namespace {
 
-constexpr std::string_view kTimeField = "time=";
+constexpr std::string_view kTimePrefix = "time=";
 
-/// Reads one `key=value` from the front of a text.
-bool TakeField(std::string_view& text, std::string& key, std::string& value) {
+/// Parses one `key=value` pair and removes it from the front of `text`.
+/// @return false if no pair is left
+bool ParseField(std::string_view& text, std::string& key, std::string& value) {
   const std::size_t from = text.find_first_not_of(' ');
   const std::size_t equals = text.find('=', from);
   if (from == std::string_view::npos || equals == std::string_view::npos) {
@@ -35,10 +36,11 @@
   return true;
 }
 
-bool NamesRequest(std::string_view list, std::string_view request) {
+/// Whether a comma-separated list contains `item`.
+bool ListContains(std::string_view list, std::string_view item) {
   while (!list.empty()) {
     const std::size_t end = std::min(list.find(','), list.size());
-    if (list.substr(0, end) == request) {
+    if (list.substr(0, end) == item) {
       return true;
     }
     list.remove_prefix(std::min(end + 1, list.size()));
@@ -46,56 +48,71 @@
   return false;
 }
 
-/// What an outcome means, in words for whoever is on call.
-struct Meaning {
+/// Explanation of an outcome for the engineer on call.
+struct OutcomeDescription {
   std::string_view outcome;
-  std::string_view words;
+  std::string_view description;
 };
-constexpr std::array kMeanings = {
-    Meaning{"answered", "It was answered; nothing failed."},
-    Meaning{"caller_gone", "Its caller closed the connection before the end."},
-    Meaning{"server_failure",
-            "The server itself answered with a failure, which was passed on."},
-    Meaning{"overloaded",
-            "It was refused and has not run: its work could not be done while "
-            "its caller waits, or no server took it."},
-    Meaning{"deadline_too_short",
-            "It was given up and has not run: its stages could not end in "
-            "time."},
-    Meaning{"deadline_before_start",
-            "Its time was over before its server was asked; it has not run."},
-    Meaning{"deadline_exceeded",
-            "Its time was over while a server had it; the server was too slow "
-            "or silent."},
-    Meaning{"outcome_unknown",
-            "Its server broke the connection; it may have run, and may not be "
-            "sent again."},
-    Meaning{"stream_broken",
-            "Its stream broke after it had begun, and could not go on "
-            "elsewhere."},
-    Meaning{"no_server", "No server could take it or one of its stages."},
-    Meaning{"unauthorised",
-            "Its key belonged to nobody in the configuration "
-            "that was in force."},
-    Meaning{"unknown_service",
-            "No route of the configuration that was in "
-            "force has its host and path."},
-    Meaning{"not_ready", "The daemon did not know the configuration yet."},
-    Meaning{"shutting_down", "The daemon was stopping."},
-    Meaning{"malformed_request", "It had no id."},
+constexpr std::array kOutcomeDescriptions = {
+    OutcomeDescription{"answered", "The request was answered; nothing failed."},
+    OutcomeDescription{
+        "caller_gone",
+        "The caller closed the connection before the answer was complete."},
+    OutcomeDescription{
+        "server_failure",
+        "The server answered with a failure, which was passed on."},
+    OutcomeDescription{
+        "overloaded",
+        "It was refused and has not run: its work could not be done while "
+        "its caller waits, or no server took it."},
+    OutcomeDescription{
+        "deadline_too_short",
+        "It was given up and has not run: its stages could not end in "
+        "time."},
+    OutcomeDescription{
+        "deadline_before_start",
+        "The deadline passed before a server was called; the request has not "
+        "run."},
+    OutcomeDescription{
+        "deadline_exceeded",
+        "The deadline passed while a server was processing the request; "
+        "the server was too slow or did not respond."},
+    OutcomeDescription{
+        "outcome_unknown",
+        "The connection to the server broke; the request may have run, so it "
+        "was not sent again."},
+    OutcomeDescription{
+        "stream_broken",
+        "The stream broke after it had started and could not be resumed "
+        "on another server."},
+    OutcomeDescription{
+        "no_server",
+        "No server was available for the request or one of its stages."},
+    OutcomeDescription{"unauthorised",
+                       "The API key was unknown in the configuration "
+                       "that was in force."},
+    OutcomeDescription{"unknown_service",
+                       "No route in the configuration that was in "
+                       "force matches its host and path."},
+    OutcomeDescription{"not_ready",
+                       "The daemon had not loaded a configuration yet."},
+    OutcomeDescription{"shutting_down", "The daemon was stopping."},
+    OutcomeDescription{"malformed_request", "The request had no id."},
 };
 
-std::string WordsOf(std::string_view outcome) {
+std::string DescribeOutcome(std::string_view outcome) {
   const auto found = std::find_if(
-      kMeanings.begin(), kMeanings.end(),
-      [outcome](const Meaning& m) { return m.outcome == outcome; });
-  return std::string(found == kMeanings.end() ? outcome : found->words);
+      kOutcomeDescriptions.begin(), kOutcomeDescriptions.end(),
+      [outcome](const OutcomeDescription& m) { return m.outcome == outcome; });
+  return std::string(found == kOutcomeDescriptions.end() ? outcome
+                                                         : found->description);
 }
 
-/// The last step with an event, before a position.
-std::optional<std::size_t> LastBefore(const std::vector<ParsedLogLine>& steps,
-                                      std::size_t before,
-                                      std::string_view event) {
+/// Index of the last step with `event` before index `before`.
+std::optional<std::size_t> FindLastBefore(
+    const std::vector<ParsedLogLine>& steps,
+    std::size_t before,
+    std::string_view event) {
   for (std::size_t i = before; i > 0; --i) {
     if (steps[i - 1].event == event) {
       return i - 1;
@@ -104,9 +121,11 @@
   return std::nullopt;
 }
 
-/// A stage that was handed out and did not end, before a position.
-std::optional<std::size_t> OpenStage(const std::vector<ParsedLogLine>& steps,
-                                     std::size_t before) {
+/// Index of the last stage_handed step before index `before` whose stage did
+/// not end successfully until then.
+std::optional<std::size_t> FindUnfinishedStage(
+    const std::vector<ParsedLogLine>& steps,
+    std::size_t before) {
   for (std::size_t i = before; i > 0; --i) {
     const ParsedLogLine& handed = steps[i - 1];
     if (handed.event != "stage_handed") {
@@ -127,33 +146,36 @@
   return std::nullopt;
 }
 
-std::string Name(const ParsedLogLine& line, std::string_view field) {
+std::string StringValue(const ParsedLogLine& line, std::string_view field) {
   return std::string(line.Value(field));
 }
 
-/// Adds what the steps before the end say of its cause.
-void Deepen(RequestStory& story, std::size_t end) {
-  const ParsedLogLine& last = story.steps[end];
+/// Extends the cause with the unfinished stage, or else the last server, found
+/// in the steps before the end.
+void AddCauseDetails(RequestDiagnosis& diagnosis, std::size_t end) {
+  const ParsedLogLine& last = diagnosis.steps[end];
   const std::string_view outcome = last.Value("outcome");
   if (outcome == "answered" || outcome == "caller_gone") {
     return;
   }
-  if (const auto open = OpenStage(story.steps, end)) {
-    const ParsedLogLine& stage = story.steps[*open];
-    story.decisive = *open;
-    story.cause += " Stage " + Name(stage, "stage") + " (" +
-                   Name(stage, "service") + " in " +
-                   Name(stage, "data_centre") + ", " + Name(stage, "pieces") +
-                   " pieces) had not ended; it was handed to '" +
-                   Name(stage, "scheduler") + "'.";
+  if (const auto unfinished = FindUnfinishedStage(diagnosis.steps, end)) {
+    const ParsedLogLine& stage = diagnosis.steps[*unfinished];
+    diagnosis.decisive = *unfinished;
+    diagnosis.cause += " Stage " + StringValue(stage, "stage") + " (" +
+                       StringValue(stage, "service") + " in " +
+                       StringValue(stage, "data_centre") + ", " +
+                       StringValue(stage, "pieces") +
+                       " pieces) had not ended; it was handed to '" +
+                       StringValue(stage, "scheduler") + "'.";
     return;
   }
-  if (const auto sent = LastBefore(story.steps, end, "request_sent")) {
-    const ParsedLogLine& line = story.steps[*sent];
-    story.decisive = *sent;
-    story.cause += " The last server that had it was " + Name(line, "server") +
-                   " in " + Name(line, "data_centre") + ", with " +
-                   Name(line, "server_calls") + " other calls.";
+  if (const auto sent = FindLastBefore(diagnosis.steps, end, "request_sent")) {
+    const ParsedLogLine& line = diagnosis.steps[*sent];
+    diagnosis.decisive = *sent;
+    diagnosis.cause += " The last server it was sent to was " +
+                       StringValue(line, "server") + " in " +
+                       StringValue(line, "data_centre") + ", with " +
+                       StringValue(line, "server_calls") + " other calls.";
   }
 }
 
@@ -168,7 +190,7 @@
 
 std::optional<ParsedLogLine> ParseLogLine(std::string_view source,
                                           std::string_view line) {
-  const std::size_t from = line.find(kTimeField);
+  const std::size_t from = line.find(kTimePrefix);
   if (from == std::string_view::npos) {
     return std::nullopt;
   }
@@ -184,7 +206,7 @@
   std::string_view rest = parsed.text;
   std::string key;
   std::string value;
-  while (TakeField(rest, key, value)) {
+  while (ParseField(rest, key, value)) {
     if (key == "time") {
       parsed.time = value;
     } else if (key == "event") {
@@ -201,10 +223,10 @@
 
 bool LogTimeline::IsAbout(const ParsedLogLine& line) const {
   return line.Value("id") == request_ ||
-         NamesRequest(line.Value("requests"), request_);
+         ListContains(line.Value("requests"), request_);
 }
 
-bool LogTimeline::IsAside(const ParsedLogLine& line) {
+bool LogTimeline::IsContext(const ParsedLogLine& line) {
   return line.event == "log_lines_dropped" || line.event == "started" ||
          (line.event == "server_seen" && line.Value("state") != "open");
 }
@@ -216,74 +238,80 @@
   }
   if (IsAbout(*parsed)) {
     steps_.push_back(std::move(*parsed));
-  } else if (IsAside(*parsed)) {
-    asides_.push_back(std::move(*parsed));
+  } else if (IsContext(*parsed)) {
+    context_lines_.push_back(std::move(*parsed));
   }
 }
 
-RequestStory LogTimeline::Tell() const {
-  RequestStory story;
-  story.steps = steps_;
+RequestDiagnosis LogTimeline::Diagnose() const {
+  RequestDiagnosis diagnosis;
+  diagnosis.steps = steps_;
   std::stable_sort(
-      story.steps.begin(), story.steps.end(),
+      diagnosis.steps.begin(), diagnosis.steps.end(),
       [](const auto& a, const auto& b) { return a.time < b.time; });
-  if (story.steps.empty()) {
-    story.cause = "No line is about this request.";
-    story.missing.emplace_back(
-        "Either no daemon of these files had it, or its lines were dropped.");
-    AddAsides(story);
-    return story;
+  if (diagnosis.steps.empty()) {
+    diagnosis.cause = "No log line mentions this request.";
+    diagnosis.missing.emplace_back(
+        "Either no daemon of these files received the request, or its lines "
+        "were dropped.");
+    AddContext(diagnosis);
+    return diagnosis;
   }
-  const auto end = LastBefore(story.steps, story.steps.size(), "request_end");
+  const auto end =
+      FindLastBefore(diagnosis.steps, diagnosis.steps.size(), "request_end");
   if (!end) {
-    story.decisive = story.steps.size() - 1;
-    story.cause =
-        "Its end is not told: its daemon died, the line was dropped, "
-        "or it goes on.";
-    story.missing.emplace_back("no request_end line");
+    diagnosis.decisive = diagnosis.steps.size() - 1;
+    diagnosis.cause =
+        "The end of the request is not logged: its daemon stopped, the line "
+        "was dropped, or the request is still running.";
+    diagnosis.missing.emplace_back("no request_end line");
   } else {
-    story.decisive = *end;
-    const std::string detail = Name(story.steps[*end], "detail");
-    story.cause = WordsOf(story.steps[*end].Value("outcome"));
-    story.cause += detail.empty() ? "" : " The daemon said: " + detail + ".";
-    Deepen(story, *end);
+    diagnosis.decisive = *end;
+    const std::string detail = StringValue(diagnosis.steps[*end], "detail");
+    diagnosis.cause = DescribeOutcome(diagnosis.steps[*end].Value("outcome"));
+    diagnosis.cause +=
+        detail.empty() ? "" : " The daemon said: " + detail + ".";
+    AddCauseDetails(diagnosis, *end);
   }
-  if (!LastBefore(story.steps, story.steps.size(), "request_admitted")) {
-    story.missing.emplace_back(
-        "no request_admitted line: it was refused on arrival, or it was not "
-        "among the sampled requests");
+  if (!FindLastBefore(diagnosis.steps, diagnosis.steps.size(),
+                      "request_admitted")) {
+    diagnosis.missing.emplace_back(
+        "no request_admitted line: the request was refused on arrival, or it "
+        "was not among the sampled requests");
   }
-  AddAsides(story);
-  return story;
+  AddContext(diagnosis);
+  return diagnosis;
 }
 
-void LogTimeline::AddAsides(RequestStory& story) const {
-  for (const ParsedLogLine& aside : asides_) {
-    if (aside.event == "log_lines_dropped") {
-      story.missing.push_back(aside.source + " dropped " +
-                              Name(aside, "lines") + " lines up to " +
-                              aside.time);
+void LogTimeline::AddContext(RequestDiagnosis& diagnosis) const {
+  for (const ParsedLogLine& line : context_lines_) {
+    if (line.event == "log_lines_dropped") {
+      diagnosis.missing.push_back(line.source + " dropped " +
+                                  StringValue(line, "lines") + " lines up to " +
+                                  line.time);
       continue;
     }
-    if (story.steps.empty()) {
+    if (diagnosis.steps.empty()) {
       continue;
     }
-    const ParsedLogLine& decisive = story.steps[story.decisive];
-    const bool same_server = aside.event == "server_seen" &&
-                             aside.Value("server") == decisive.Value("server");
+    const ParsedLogLine& decisive = diagnosis.steps[diagnosis.decisive];
+    const bool same_server = line.event == "server_seen" &&
+                             line.Value("server") == decisive.Value("server");
     if (same_server) {
       const std::string note = " That server was seen as " +
-                               Name(aside, "state") + " at " + aside.time + ".";
-      // Every daemon tells of it; once is enough.
-      if (story.cause.find(" That server was seen as ") == std::string::npos) {
-        story.cause += note;
+                               StringValue(line, "state") + " at " + line.time +
+                               ".";
+      // Each daemon logs the same server state; mention it once.
+      if (diagnosis.cause.find(" That server was seen as ") ==
+          std::string::npos) {
+        diagnosis.cause += note;
       }
     }
-    const bool restarted = aside.event == "started" &&
-                           aside.source == decisive.source &&
-                           aside.time > story.steps.front().time;
-    if (restarted && story.steps.back().event != "request_end") {
-      story.cause += " Its daemon started anew at " + aside.time + ".";
+    const bool restarted = line.event == "started" &&
+                           line.source == decisive.source &&
+                           line.time > diagnosis.steps.front().time;
+    if (restarted && diagnosis.steps.back().event != "request_end") {
+      diagnosis.cause += " Its daemon restarted at " + line.time + ".";
     }
   }
 }
--- a/packages/schema/tests/lease_test.cc
+++ b/packages/schema/tests/lease_test.cc
@@ -13,7 +13,7 @@
   return TimePoint{} + seconds(second);
 }
 
-/// The lease's row, and two daemons that want it.
+/// The lease row and two daemons that compete for the lease.
 struct Fixture {
   JsonLeaseCodec codec;
   LeaseKeeper first{{"p", "first/1"}, codec};
@@ -30,8 +30,10 @@
     return {TableStatus::kCommitted, {++row.version}, {}};
   }
 
-  /// Lets a daemon do all it can at one time.
-  void Run(LeaseKeeper& keeper, TimePoint now, bool wanted = true) {
+  /// Advances a keeper until it has nothing left to do at `now`.
+  void AdvanceUntilIdle(LeaseKeeper& keeper,
+                        TimePoint now,
+                        bool wanted = true) {
     for (Step step = keeper.Advance(now, wanted); step != Step::kNone;
          step = keeper.Advance(now, wanted)) {
       if (step == Step::kRead) {
@@ -49,48 +51,49 @@
 
 }  // namespace
 
-// The holder is paused in the middle of its work. Another daemon takes over
-// after the lease and the longest order. The first wakes up and must find by
-// its own clock that it may not send.
-Test(lease, paused_holder_finds_its_lease_lapsed) {
+// The holder is paused. Another daemon takes over once the lease duration and
+// the maximum duration of an order have passed. After resuming, the first
+// daemon must detect by its own clock that it may no longer send.
+Test(lease, paused_holder_detects_its_expired_lease) {
   Fixture fixture;
-  fixture.Run(fixture.first, At(0));
+  fixture.AdvanceUntilIdle(fixture.first, At(0));
   cr_assert(fixture.first.MaySend(At(8)));
   cr_assert(!fixture.first.MaySend(At(9)), "it could arrive after the lease");
   for (int second = 1; second <= 12; ++second) {
-    fixture.Run(fixture.second, At(second));
+    fixture.AdvanceUntilIdle(fixture.second, At(second));
     cr_assert(!fixture.second.held());
   }
-  fixture.Run(fixture.second, At(13));
+  fixture.AdvanceUntilIdle(fixture.second, At(13));
   cr_assert(fixture.second.MaySend(At(13)));
   cr_assert_eq(fixture.second.fencing(), 2);
   cr_assert(!fixture.first.MaySend(At(13)));
-  fixture.Run(fixture.first, At(13));
+  fixture.AdvanceUntilIdle(fixture.first, At(13));
   cr_assert(!fixture.first.held());
 }
 
-// An order is decided, the holder is paused, loses the lease to another daemon
-// and wins it again. Written now, the old order would undo what the other has
-// ordered in between. Found by random_config, seed 8.
-Test(lease, order_of_an_earlier_term_is_void) {
+// After deciding an order, the holder is paused, loses the lease to another
+// daemon and acquires it again. Writing the old order then would undo the other
+// daemon's orders. Found by random_config, seed 8.
+Test(lease, order_of_an_earlier_term_is_not_sent) {
   Fixture fixture;
-  fixture.Run(fixture.first, At(0));
+  fixture.AdvanceUntilIdle(fixture.first, At(0));
   const std::uint64_t decided = fixture.first.fencing();
   cr_assert(fixture.first.MaySend(At(1), decided));
-  fixture.Run(fixture.second, At(1));
-  fixture.Run(fixture.second, At(13));
-  fixture.Run(fixture.second, At(14), false);
-  fixture.Run(fixture.first, At(14));
+  fixture.AdvanceUntilIdle(fixture.second, At(1));
+  fixture.AdvanceUntilIdle(fixture.second, At(13));
+  fixture.AdvanceUntilIdle(fixture.second, At(14), false);
+  fixture.AdvanceUntilIdle(fixture.first, At(14));
   cr_assert_eq(fixture.first.fencing(), 3);
   cr_assert(fixture.first.MaySend(At(14)));
   cr_assert(!fixture.first.MaySend(At(14), decided));
 }
 
-// The answer to a renewal comes six seconds late. Others count from the write,
-// not from the answer: the holder must too.
-Test(lease, time_is_counted_from_before_the_renewal_was_sent) {
+// The answer to a renewal arrives six seconds late. Other daemons count the
+// lease duration from the write, so the holder must not count it from the
+// answer.
+Test(lease, lease_time_is_counted_from_before_the_renewal_was_sent) {
   Fixture fixture;
-  fixture.Run(fixture.first, At(0));
+  fixture.AdvanceUntilIdle(fixture.first, At(0));
   cr_assert(fixture.first.Advance(At(3), true) == Step::kTransact);
   const auto result = fixture.Commit(fixture.first.transaction());
   fixture.first.OnTransacted(At(9), result);
@@ -98,9 +101,10 @@
   cr_assert(!fixture.first.MaySend(At(12)));
 }
 
-// An acquisition's answer is lost: the daemon may be the holder or not. It
-// sends nothing, and settles it with a new number.
-Test(lease, lost_acquisition_sends_nothing_until_settled) {
+// When the answer to an acquisition is lost, the daemon does not know whether
+// it holds the lease. It must send nothing until it has acquired the lease
+// again with a new fencing number.
+Test(lease, unanswered_acquisition_sends_nothing_until_acquired_again) {
   Fixture fixture;
   cr_assert(fixture.first.Advance(At(0), true) == Step::kRead);
   fixture.first.OnRead(At(0), fixture.Read());
@@ -108,26 +112,26 @@
   fixture.Commit(fixture.first.transaction());
   fixture.first.OnTransacted(At(1), {});
   cr_assert(!fixture.first.MaySend(At(1)));
-  fixture.Run(fixture.first, At(4));
+  fixture.AdvanceUntilIdle(fixture.first, At(4));
   cr_assert(fixture.first.MaySend(At(4)));
   cr_assert_eq(fixture.first.fencing(), 2);
 }
 
-Test(lease, given_back_on_drain_is_taken_at_once) {
+Test(lease, lease_released_on_drain_is_available_immediately) {
   Fixture fixture;
-  fixture.Run(fixture.first, At(0));
-  fixture.Run(fixture.first, At(1), false);
+  fixture.AdvanceUntilIdle(fixture.first, At(0));
+  fixture.AdvanceUntilIdle(fixture.first, At(1), false);
   cr_assert(!fixture.first.MaySend(At(1)));
-  fixture.Run(fixture.second, At(1));
+  fixture.AdvanceUntilIdle(fixture.second, At(1));
   cr_assert(fixture.second.MaySend(At(1)));
 }
 
-// An order gets no answer; the desired state changes. A second order at once
-// could overtake the first, which would then undo it on an engine that ignores
-// the number.
-Test(order_issuer, order_in_flight_holds_back_the_next) {
+// The desired state changes while an order has no answer yet. A second order
+// sent immediately could overtake the first, which would then undo it on an
+// engine that ignores fencing numbers.
+Test(order_issuer, order_in_flight_delays_the_next) {
   Fixture fixture;
-  fixture.Run(fixture.first, At(0));
+  fixture.AdvanceUntilIdle(fixture.first, At(0));
   OrderIssuer issuer({});
   const std::vector<std::string> engines = {"e"};
   issuer.SetEngines(engines);
@@ -139,17 +143,17 @@
   issuer.OnState("e", EngineState{});
   cr_assert(issuer.Advance(At(1), fixture.first).orders.empty());
   cr_assert(issuer.InFlight(At(1)));
-  fixture.Run(fixture.first, At(3));
+  fixture.AdvanceUntilIdle(fixture.first, At(3));
   cr_assert_eq(issuer.Advance(At(3), fixture.first).orders.size(), 1);
 }
 
-// The holder is paused between deciding an order and writing it. What is
-// written then must count as in flight from the write, or a drain right after
-// it would give the lease back and the next holder's order be undone by it; and
-// what is too old is not written at all. Found by random_config, seed 29.
+// The holder is paused between deciding an order and writing it. The order must
+// count as in flight from the write; otherwise a drain right after it would
+// release the lease, and this order could undo one of the next holder. An order
+// that is too old must not be written at all. Found by random_config, seed 29.
 Test(order_issuer, order_counts_as_in_flight_from_its_write) {
   Fixture fixture;
-  fixture.Run(fixture.first, At(0));
+  fixture.AdvanceUntilIdle(fixture.first, At(0));
   OrderIssuer issuer({});
   const std::vector<std::string> engines = {"e"};
   issuer.SetEngines(engines);
@@ -170,7 +174,7 @@
   cr_assert(issuer.MayWrite(At(4), fixture.first, next[0]));
 }
 
-Test(order_issuer, engine_that_runs_a_group_already_is_kept) {
+Test(order_issuer, engine_that_already_runs_a_group_is_kept) {
   const std::vector<EngineGroup> groups = {{Model("a"), 1, {}},
                                            {Model("b"), 1, {"e3"}}};
   const auto assigned = AssignEngines(
