--- a/packages/gateway/src/stage_desk.cc
+++ b/packages/gateway/src/stage_desk.cc
@@ -67,7 +67,7 @@
 void StageDesk::SetTable(routing::RouteTablePtr table) {
   table_ = std::move(table);
   for (const auto& [key, pool] : pools_) {
-    const routing::ServiceSpec* spec = table_->Service(pool->service);
+    const routing::ServiceSpec* spec = table_->FindService(pool->service);
     if (spec != nullptr && spec->stage) {
       pool->pool.SetCapacity(*spec->stage);
     }
@@ -82,7 +82,7 @@
     return found->second.get();
   }
   const routing::ServiceSpec* spec =
-      table_ == nullptr ? nullptr : table_->Service(service);
+      table_ == nullptr ? nullptr : table_->FindService(service);
   if (spec == nullptr || !spec->stage) {
     return nullptr;
   }
@@ -113,7 +113,7 @@
 
 std::vector<routing::ServerPtr> StageDesk::ServersOf(const Pool& pool) const {
   std::vector<routing::ServerPtr> servers;
-  for (const routing::ServerPtr& server : servers_.In(pool.service)) {
+  for (const routing::ServerPtr& server : servers_.ServersOf(pool.service)) {
     if (server->record().data_centre == pool.data_centre) {
       servers.push_back(server);
     }
@@ -129,8 +129,8 @@
   Settle(pool);
   loop_.Cancel(pool.timer);
   if (pool.pool.waiting_pieces() > 0) {
-    pool.timer =
-        loop_.After(pool.pool.LookAgainIn(), [this, &pool] { Work(pool); });
+    pool.timer = loop_.After(pool.pool.NextDispatchDelay(),
+                             [this, &pool] { Work(pool); });
   }
 }
 
@@ -156,7 +156,7 @@
   ++calls_sent_;
   pieces_sent_ += pieces.size();
   TellCall(pool, call, pieces);
-  fetches_.Start(std::move(out), call.give_up_after,
+  fetches_.Start(std::move(out), call.timeout,
                  [this, &pool, id = call.id](const RelayFetchEnd& end) {
                    OnCallEnd(pool, id, ReadEnd(pool, end));
                  });
@@ -197,7 +197,7 @@
         .Field("service", pool.service)
         .Field("sent", sent ? "yes" : "no");
   }
-  return {routing::CallEnd::kBroken, {}};
+  return {routing::CallStatus::kBroken, {}};
 }
 
 void StageDesk::OnCallEnd(Pool& pool,
@@ -219,7 +219,7 @@
 }
 
 void StageDesk::Settle(Pool& pool) {
-  for (routing::StageGroupEnd& end : pool.pool.TakeEnded()) {
+  for (routing::StageGroupResult& end : pool.pool.TakeFinished()) {
     const auto found = pool.waiting.find(end.group);
     if (found == pool.waiting.end()) {
       continue;
--- /dev/null
+++ b/packages/routing/include/gentianroute/routing/event_framer.h
@@ -0,0 +1,34 @@
+#ifndef GENTIANROUTE_ROUTING_EVENT_FRAMER_H_
+#define GENTIANROUTE_ROUTING_EVENT_FRAMER_H_
+
+#include <string>
+#include <string_view>
+
+namespace gentianroute::routing {
+
+/// @brief Splits an event stream at event boundaries.
+///
+/// A server can fail in the middle of an event. If another server may resume
+/// the stream, only whole events are forwarded, so that the caller never gets
+/// an event assembled from two executions.
+class EventFramer {
+ public:
+  /// @brief Adds received bytes.
+  /// @return the events that they complete, unchanged
+  std::string Feed(std::string_view data);
+  /// @brief Drops the partial event at the end, which will not be completed.
+  void DropPartial() { partial_.clear(); }
+  std::string TakePartial();
+  /// @brief Id of the last complete event; empty before the first.
+  const std::string& last_id() const { return last_id_; }
+
+ private:
+  void RecordIds(std::string_view events);
+
+  std::string partial_;
+  std::string last_id_;
+};
+
+}  // namespace gentianroute::routing
+
+#endif  // GENTIANROUTE_ROUTING_EVENT_FRAMER_H_
--- a/packages/routing/include/gentianroute/routing/server.h
+++ b/packages/routing/include/gentianroute/routing/server.h
@@ -9,107 +9,111 @@
 #include <string>
 
 #include "gentianroute/base/time.h"
-#include "gentianroute/routing/prompt_memory.h"
+#include "gentianroute/routing/prompt_cache.h"
 
 namespace gentianroute::routing {
 
-/// @brief A backend server as it stands in the host list.
+/// @brief A backend server as described by its entry in the host list.
 struct ServerRecord {
   std::string id;
   std::string service;
-  std::string address;  ///< IP number
+  std::string address;  ///< IP address
   std::uint16_t port = 0;
   std::string data_centre;
   std::uint32_t slots = 1;
   bool leaving = false;
-  Duration warm_up_left{};  ///< it is slow for this much longer
-  std::int64_t born = 0;    ///< start of this incarnation, Unix ms; 0: unknown
+  Duration warm_up_left{};              ///< remaining time of slow answers
+  std::int64_t started_at_unix_ms = 0;  ///< 0 if unknown
 
   friend bool operator==(const ServerRecord&, const ServerRecord&) = default;
 };
 
-/// @brief Work that daemons have at one server.
+/// @brief Load that daemons have placed on one server.
 struct ServerLoad {
-  double calls = 0;          ///< requests sent and not ended
-  double tokens = 0;         ///< memory that they will take, in tokens
-  double unread_tokens = 0;  ///< of prompts whose first event is awaited
+  double calls = 0;   ///< requests in flight
+  double tokens = 0;  ///< memory that these requests need, in tokens
+  double pending_prefill_tokens = 0;  ///< in prompts without a first event
 
   ServerLoad& operator+=(const ServerLoad& other) {
     calls += other.calls;
     tokens += other.tokens;
-    unread_tokens += other.unread_tokens;
+    pending_prefill_tokens += other.pending_prefill_tokens;
     return *this;
   }
   ServerLoad& operator-=(const ServerLoad& other) {
     calls -= other.calls;
     tokens -= other.tokens;
-    unread_tokens -= other.unread_tokens;
+    pending_prefill_tokens -= other.pending_prefill_tokens;
     return *this;
   }
 };
 
-/// @brief How a server has answered lately, as seen from here.
+/// @brief Recent behaviour of a server as observed by this daemon.
 ///
-/// A server can fail part of its requests, or turn slow, while its health check
-/// passes. Only its answers show it, so they are what counts; old ones fade, so
-/// that a server which has recovered is tried again.
+/// A server can fail a share of its requests or slow down while its health
+/// check passes, so only its answers are judged. Old observations decay, so
+/// that a recovered server is tried again.
 class ServerHistory {
  public:
-  /// Weight of the newest answer in the running means.
-  static constexpr double kNewest = 0.2;
-  /// A mean loses half of its distance from "well" in this time.
-  static constexpr double kFadeSeconds = 3.0;
-
-  /// Bounds on what one answer says of a server's slowness.
-  static constexpr double kFastest = 0.3;
-  static constexpr double kSlowest = 10.0;
-
-  void OnAnswer(TimePoint now, bool good, double slowness) {
-    Fade(now);
-    failing_ += kNewest * ((good ? 0.0 : 1.0) - failing_);
-    slowness_ +=
-        kNewest * (std::clamp(slowness, kFastest, kSlowest) - slowness_);
-    if (good) {
-      breaks_ = 0;
+  /// Weight of the newest answer in the moving averages.
+  static constexpr double kNewestWeight = 0.2;
+  /// Time in which an average moves half-way back to that of a healthy server.
+  static constexpr double kHalfLifeSeconds = 3.0;
+
+  /// Bounds on the slowness taken from one answer.
+  static constexpr double kMinSlowness = 0.3;
+  static constexpr double kMaxSlowness = 10.0;
+
+  void OnAnswer(TimePoint now, bool succeeded, double slowness) {
+    Decay(now);
+    failure_rate_ += kNewestWeight * ((succeeded ? 0.0 : 1.0) - failure_rate_);
+    slowness_ += kNewestWeight *
+                 (std::clamp(slowness, kMinSlowness, kMaxSlowness) - slowness_);
+    if (succeeded) {
+      consecutive_failures_ = 0;
     }
   }
-  /// @brief A connection was refused or broke: the server may be gone.
-  void OnBreak(TimePoint now) {
-    constexpr std::uint32_t kMostDoublings = 4;
-    constexpr Duration kFirstPause = std::chrono::milliseconds(300);
-    Fade(now);
-    failing_ += kNewest * (1.0 - failing_);
-    avoid_until_ = now + kFirstPause * (1 << std::min(breaks_, kMostDoublings));
-    ++breaks_;
+  /// @brief Records a refused or broken connection, or silence: the server may
+  /// be down, and is avoided for a time that doubles with each failure.
+  void OnConnectionFailure(TimePoint now) {
+    constexpr std::uint32_t kMaxDoublings = 4;
+    constexpr Duration kFirstBackoff = std::chrono::milliseconds(300);
+    Decay(now);
+    failure_rate_ += kNewestWeight * (1.0 - failure_rate_);
+    avoid_until_ = now + kFirstBackoff * (1 << std::min(consecutive_failures_,
+                                                        kMaxDoublings));
+    ++consecutive_failures_;
   }
 
   bool IsAvoided(TimePoint now) const { return now < avoid_until_; }
   /// @return share of calls that fail, 0 to 1
-  double Failing(TimePoint now) const { return failing_ * Kept(now); }
-  /// @return time of an answer against what was expected; 1 is as expected
+  double FailureRate(TimePoint now) const {
+    return failure_rate_ * DecayFactor(now);
+  }
+  /// @return ratio of actual to expected answer time
   double Slowness(TimePoint now) const {
-    return 1.0 + (slowness_ - 1.0) * Kept(now);
+    return 1.0 + (slowness_ - 1.0) * DecayFactor(now);
   }
 
  private:
-  double Kept(TimePoint now) const {
-    return std::exp2(-Seconds(now - seen_) / kFadeSeconds);
+  double DecayFactor(TimePoint now) const {
+    return std::exp2(-Seconds(now - updated_at_) / kHalfLifeSeconds);
   }
-  void Fade(TimePoint now) {
-    failing_ = Failing(now);
+  void Decay(TimePoint now) {
+    failure_rate_ = FailureRate(now);
     slowness_ = Slowness(now);
-    seen_ = now;
+    updated_at_ = now;
   }
 
-  double failing_ = 0;
+  double failure_rate_ = 0;
   double slowness_ = 1;
-  std::uint32_t breaks_ = 0;
-  TimePoint seen_{};
+  std::uint32_t consecutive_failures_ = 0;
+  TimePoint updated_at_{};
   TimePoint avoid_until_{};
 };
 
-/// @brief One incarnation of a backend server. Calls in flight hold it by
-/// count, so it outlives its place in the list.
+/// @brief One incarnation of a backend server. Reference-counted, since calls
+/// in flight may outlive its entry in the host list.
 class Server
     : public boost::intrusive_ref_counter<Server,
                                           boost::thread_unsafe_counter> {
@@ -118,7 +122,7 @@
 
   const ServerRecord& record() const { return record_; }
   void SetRecord(ServerRecord record) { record_ = std::move(record); }
-  /// @brief Whether it may get new work.
+  /// @brief Whether it may receive new work.
   bool open() const { return listed_ && !record_.leaving; }
   bool listed() const { return listed_; }
   void Unlist() { listed_ = false; }
@@ -128,28 +132,28 @@
   ServerLoad& peers() { return peers_; }
   double calls() const { return own_.calls + peers_.calls; }
   double tokens() const { return own_.tokens + peers_.tokens; }
-  double unread_tokens() const {
-    return own_.unread_tokens + peers_.unread_tokens;
+  double pending_prefill_tokens() const {
+    return own_.pending_prefill_tokens + peers_.pending_prefill_tokens;
   }
 
   ServerHistory& history() { return history_; }
   const ServerHistory& history() const { return history_; }
-  PromptMemory& memory() { return memory_; }
-  const PromptMemory& memory() const { return memory_; }
+  PromptCache& prompt_cache() { return prompt_cache_; }
+  const PromptCache& prompt_cache() const { return prompt_cache_; }
 
-  /// @brief Bytes of an answer came from it. One slow answer says little of a
-  /// server that is heard otherwise.
-  void OnHeard(TimePoint now) { heard_ = now; }
-  bool HeardSince(TimePoint then) const { return heard_ >= then; }
+  /// @brief Records that bytes of any answer arrived. A server that sends to
+  /// other callers is up, even if one answer is slow.
+  void OnBytesReceived(TimePoint now) { last_received_ = now; }
+  bool HasReceivedSince(TimePoint then) const { return last_received_ >= then; }
 
  private:
   ServerRecord record_;
   bool listed_ = true;
   ServerLoad own_;
-  ServerLoad peers_;  ///< as the peers told last
+  ServerLoad peers_;  ///< as last reported by the peers
   ServerHistory history_;
-  PromptMemory memory_;
-  TimePoint heard_{};
+  PromptCache prompt_cache_;
+  TimePoint last_received_{};
 };
 using ServerPtr = boost::intrusive_ptr<Server>;
 
--- a/packages/routing/tests/pool_choice_test.cc
+++ b/packages/routing/tests/pool_choice_test.cc
@@ -27,8 +27,8 @@
   cr_assert_str_eq(pool->data_centre.c_str(), "north");
 }
 
-// A burst comes to the data centre with the fewest servers; its work spills to
-// another region once the wait is longer than the way.
+// A burst reaches the data centre with the fewest servers. Work goes to another
+// region once the wait is longer than the round trip.
 Test(pool_choice, burst_spills_to_another_region) {
   const std::vector<PoolState> pools = {
       Pool("south", 2, {}), Pool("north", 1, std::chrono::seconds(1))};
@@ -42,42 +42,42 @@
                                         Pool("north", 2, {})};
   PoolWork work{3, 13 * kMs};
   work.result_bytes = 9e6;
-  work.read_in = "south";
+  work.reader_data_centre = "south";
   cr_assert_str_eq(
       ChoosePool(pools, work, kCapacity, TwoRegions())->data_centre.c_str(),
       "south");
 }
 
-// Load: chains of stages whose last one is wide. Each of its pieces fetches all
-// results of the stage before, so a group that follows a small difference of
-// backlog to another data centre moves many times the results' size.
+// The last stage of a chain has many pieces, each of which fetches all results
+// of the stage before. Moving the group to another data centre for a small
+// difference in backlog would transfer a multiple of the size of the results.
 Test(pool_choice, group_of_many_pieces_stays_with_what_each_of_them_reads) {
   constexpr double kResultBytes = 60e3;
   constexpr std::uint32_t kResults = 6;
   const std::vector<PoolState> pools = {Pool("south", 2, 500 * kMs),
                                         Pool("north", 2, {})};
   PoolWork narrow{1, 2 * kMs};
-  narrow.inputs = {InputOf("south", kResultBytes, kResults, narrow.pieces)};
+  narrow.inputs = {
+      InputTransfer("south", kResultBytes, kResults, narrow.pieces)};
   cr_assert_str_eq(
       ChoosePool(pools, narrow, kCapacity, TwoRegions())->data_centre.c_str(),
       "north");
   PoolWork wide{16, 2 * kMs};
-  wide.inputs = {InputOf("south", kResultBytes, kResults, wide.pieces)};
+  wide.inputs = {InputTransfer("south", kResultBytes, kResults, wide.pieces)};
   cr_assert_str_eq(
       ChoosePool(pools, wide, kCapacity, TwoRegions())->data_centre.c_str(),
       "south");
 }
 
-// Load: a burst of requests with large results, all with their reader in one
-// data centre. Its servers have a queue of more than the requests have time,
-// and those of the others are free; bytes that cross cost less than late
-// answers.
+// A burst of requests with large results that are read in one data centre. The
+// queue there is longer than the time left, and servers elsewhere are idle; the
+// transfer costs less than late answers.
 Test(pool_choice, large_results_cross_where_their_request_would_be_late) {
   const std::vector<PoolState> pools = {Pool("south", 1, 900 * kMs),
                                         Pool("north", 1, {})};
   PoolWork work{4, 16 * kMs};
   work.result_bytes = 12e6;
-  work.read_in = "south";
+  work.reader_data_centre = "south";
   work.time_left = 2000 * kMs;
   cr_assert_str_eq(
       ChoosePool(pools, work, kCapacity, TwoRegions())->data_centre.c_str(),
@@ -93,22 +93,23 @@
   cr_assert_null(ChoosePool(pools, {4, 13 * kMs}, kCapacity, TwoRegions()));
 }
 
-Test(pool_board, work_handed_over_counts_until_the_next_report) {
-  PoolBoard board;
+Test(pool_state_table, submitted_work_counts_until_the_next_report) {
+  PoolStateTable board;
   board.SetServers("stage", "north", 1);
   board.Report(kStart, Pool("north", 0, 100 * kMs));
-  board.OnHandedOver("stage", "north", 200 * kMs);
-  cr_assert_eq(board.Of(kStart, "stage")[0].backlog.in_time.count(),
+  board.OnWorkSubmitted("stage", "north", 200 * kMs);
+  cr_assert_eq(board.PoolsOf(kStart, "stage")[0].backlog.on_time.count(),
                Duration(300 * kMs).count());
   board.Report(kStart, Pool("north", 0, 50 * kMs));
-  cr_assert_eq(board.Of(kStart, "stage")[0].backlog.in_time.count(),
+  cr_assert_eq(board.PoolsOf(kStart, "stage")[0].backlog.on_time.count(),
                Duration(50 * kMs).count());
 }
 
-Test(pool_board, backlog_is_worked_off_between_reports) {
-  PoolBoard board;
+Test(pool_state_table, backlog_is_worked_off_between_reports) {
+  PoolStateTable board;
   board.SetServers("stage", "north", 2);
   board.Report(kStart, Pool("north", 0, 300 * kMs));
-  cr_assert_eq(board.Of(kStart + 100 * kMs, "stage")[0].backlog.in_time.count(),
-               Duration(100 * kMs).count());
+  cr_assert_eq(
+      board.PoolsOf(kStart + 100 * kMs, "stage")[0].backlog.on_time.count(),
+      Duration(100 * kMs).count());
 }
--- a/packages/routing/tests/server_choice_test.cc
+++ b/packages/routing/tests/server_choice_test.cc
@@ -22,8 +22,8 @@
 struct ModelFixture {
   std::vector<ServerPtr> servers;
   ModelCapacity capacity{64, 450'000};
-  ServicePace pace;
-  Topology map = TwoRegions();
+  ServiceTimeEstimate estimate;
+  Topology topology = TwoRegions();
 
   ModelFixture() {
     for (int i = 0; i < 6; ++i) {
@@ -33,8 +33,8 @@
   ServerPtr Choose(const Prompt& prompt,
                    std::span<const PlacedBytes> inputs = {},
                    std::span<const std::string> tried = {}) const {
-    return ChooseModel(kStart, servers, tried, prompt, inputs, capacity, pace,
-                       map)
+    return ChooseModelServer(kStart, servers, tried, prompt, inputs, capacity,
+                             estimate, topology)
         .server;
   }
 };
@@ -44,7 +44,8 @@
 Test(server_choice, plain_request_stays_in_its_data_centre) {
   const std::vector<ServerPtr> servers = {MakeServer("far", "south", 6),
                                           MakeServer("near", "north", 6)};
-  const Choice choice = ChoosePlain(kStart, servers, {}, {}, TwoRegions());
+  const ServerChoice choice =
+      ChoosePlainServer(kStart, servers, {}, {}, TwoRegions());
   cr_assert(choice.server == servers[1]);
 }
 
@@ -52,22 +53,25 @@
   const std::vector<ServerPtr> servers = {MakeServer("far", "south", 6),
                                           MakeServer("near", "north", 6)};
   servers[1]->own().calls = 18;
-  const Choice choice = ChoosePlain(kStart, servers, {}, {}, TwoRegions());
+  const ServerChoice choice =
+      ChoosePlainServer(kStart, servers, {}, {}, TwoRegions());
   cr_assert(choice.server == servers[0]);
 }
 
-// Callers see errors from one server while its health check passes; its own
-// answers are what tells.
+// A server fails requests while its health check passes, so only its answers
+// show the failure.
 Test(server_choice, failing_server_is_avoided_until_its_failures_fade) {
   const std::vector<ServerPtr> servers = {MakeServer("far", "south", 6),
                                           MakeServer("near", "north", 6)};
   for (int i = 0; i < 10; ++i) {
     servers[1]->history().OnAnswer(kStart, false, 1.0);
   }
-  const Topology map = TwoRegions();
-  cr_assert(ChoosePlain(kStart, servers, {}, {}, map).server == servers[0]);
+  const Topology topology = TwoRegions();
+  cr_assert(ChoosePlainServer(kStart, servers, {}, {}, topology).server ==
+            servers[0]);
   const TimePoint later = kStart + std::chrono::seconds(30);
-  cr_assert(ChoosePlain(later, servers, {}, {}, map).server == servers[1]);
+  cr_assert(ChoosePlainServer(later, servers, {}, {}, topology).server ==
+            servers[1]);
 }
 
 Test(server_choice, leaving_tried_and_unlisted_servers_are_not_taken) {
@@ -78,7 +82,8 @@
   servers[0]->SetRecord(leaving);
   servers[2]->Unlist();
   const std::vector<std::string> tried = {"tried"};
-  const Choice choice = ChoosePlain(kStart, servers, tried, {}, TwoRegions());
+  const ServerChoice choice =
+      ChoosePlainServer(kStart, servers, tried, {}, TwoRegions());
   cr_assert(choice.server == nullptr);
 }
 
@@ -101,13 +106,13 @@
   cr_assert_eq(homes.size(), fixture.servers.size());
 }
 
-// One subject gets much of the traffic: its home has prompts in front of it
-// that take longer to read than the subject takes to read again elsewhere.
+// The prompts queued at the home of a popular subject take longer to prefill
+// than the subject takes at another server.
 Test(server_choice, hot_subject_is_split_once_its_home_has_a_queue) {
   const ModelFixture fixture;
   const Prompt prompt = PromptAbout("hot", "r0");
   const ServerPtr home = fixture.Choose(prompt);
-  home->own().unread_tokens = 20'000;
+  home->own().pending_prefill_tokens = 20'000;
   cr_assert(fixture.Choose(prompt) != home);
 }
 
@@ -115,12 +120,13 @@
   const ModelFixture fixture;
   const Prompt prompt = PromptAbout("subject", "r0");
   const ServerPtr home = fixture.Choose(prompt);
-  home->own().unread_tokens = 2'900;
+  home->own().pending_prefill_tokens = 2'900;
   home->own().calls = 5;
   cr_assert(fixture.Choose(prompt) == home);
 }
 
-// A stage's results lie in one data centre and are billed when they cross.
+// Stage results are stored in one data centre, and transfers out of it are
+// billed.
 Test(server_choice, large_results_draw_a_request_whose_subject_is_small) {
   ModelFixture fixture;
   fixture.servers.push_back(MakeServer("s0", "south", 64));
@@ -130,9 +136,9 @@
   cr_assert(fixture.Choose(prompt, inputs) == fixture.servers.back());
 }
 
-// Load: subjects of thousands of tokens beside results of some megabytes. To
-// follow the results reads the subject again, which costs more engine time, and
-// more money, than the crossing.
+// Subjects of thousands of tokens with results of some megabytes: another
+// prefill of the subject costs more engine time and money than the transfer of
+// the results.
 Test(server_choice, large_subject_stays_at_home_beside_results_elsewhere) {
   ModelFixture fixture;
   const Prompt prompt = PromptAbout("subject", "r");
@@ -150,23 +156,23 @@
   cr_assert(fixture.Choose(prompt) != home);
 }
 
-// Load: one subject was split once, because its home had a queue. Requests that
-// follow go back there only if it costs less than the copy that now exists.
-Test(server_choice, subject_read_elsewhere_before_is_not_read_again_there) {
+// A subject was split because its home had a queue. Later requests return to
+// the home only if that costs less than using the existing copy.
+Test(server_choice, copy_of_a_subject_at_another_server_is_reused) {
   const ModelFixture fixture;
   const Prompt prompt = PromptAbout("hot", "r0");
   const ServerPtr home = fixture.Choose(prompt);
-  home->own().unread_tokens = 20'000;
+  home->own().pending_prefill_tokens = 20'000;
   const ServerPtr second = fixture.Choose(prompt);
-  second->memory().OnRead(kStart, prompt, 400'000);
-  home->own().unread_tokens = 3'000;
+  second->prompt_cache().OnPrefill(kStart, prompt, 400'000);
+  home->own().pending_prefill_tokens = 3'000;
   cr_assert(fixture.Choose(prompt) == second);
-  home->own().unread_tokens = 0;
+  home->own().pending_prefill_tokens = 0;
   cr_assert(fixture.Choose(prompt) == home);
 }
 
-// Load: a server answers all it gets, five times slower than the others. Its
-// callers would be late; what is learnt from its answers sends them elsewhere.
+// A server answers every request at a fifth of the speed of the others. Its
+// answer times must direct requests elsewhere.
 Test(server_choice, slowed_model_server_loses_its_subjects_for_a_time) {
   const ModelFixture fixture;
   const Prompt prompt = PromptAbout("subject", "r0");
--- a/packages/routing/tests/stage_pool_test.cc
+++ b/packages/routing/tests/stage_pool_test.cc
@@ -24,9 +24,9 @@
   const StageGroupId second = fixture.Submit("r2", 3);
   const auto calls = fixture.pool.Dispatch(kStart, fixture.servers);
   fixture.Answer(calls[0], kStart + 200 * kMs);
-  const auto ended = fixture.pool.TakeEnded();
+  const auto ended = fixture.pool.TakeFinished();
   cr_assert_eq(ended.size(), 2);
-  for (const StageGroupEnd& end : ended) {
+  for (const StageGroupResult& end : ended) {
     const std::string name = std::to_string(end.group.value);
     cr_assert_not(end.failure.has_value());
     cr_assert_eq(end.results.size(), end.group == first ? 2 : 3);
@@ -50,10 +50,9 @@
   }
 }
 
-// A burst brings more pieces than the servers can do. What can't be in time any
-// more would take the place of what still can, and then both were late: so it
-// waits behind, although it came first.
-Test(stage_pool, burst_serves_first_what_can_still_be_in_time) {
+// Overload: running first the group that can no longer be on time would make
+// the other one late as well. It goes last although it was submitted first.
+Test(stage_pool, burst_runs_work_that_can_be_on_time_first) {
   PoolFixture fixture(4);
   fixture.servers = {MakeServer("a")};
   fixture.Submit("missed", 4, 50 * kMs);
@@ -64,24 +63,23 @@
   }
 }
 
-Test(stage_pool, free_server_is_kept_when_one_call_holds_all) {
+Test(stage_pool, server_stays_free_when_one_call_holds_all) {
   PoolFixture fixture(10);
   fixture.servers = {MakeServer("a"), MakeServer("b")};
   fixture.Submit("r1", 4);
   cr_assert_eq(fixture.pool.Dispatch(kStart, fixture.servers).size(), 1);
 }
 
-// The caller sees a stage that ends late or not at all. A server of 3 MB
-// results holds 16 of them from the start of their call until they are
-// released; a call filled without regard to that comes back without most of its
-// results, and its time is lost.
-Test(stage_pool, call_is_filled_by_the_room_that_is_left) {
-  constexpr double kResult = 3e6;
+// A server with storage for 16 results of 3 MB holds each from the start of its
+// call until it is released. A call filled beyond the free storage would come
+// back without most of its results, and its time would be wasted.
+Test(stage_pool, call_is_limited_by_free_result_storage) {
+  constexpr double kResultBytes = 3e6;
   PoolFixture fixture(10, 49e6);
   fixture.servers = {MakeServer("a")};
-  fixture.Submit("r1", 10, std::chrono::seconds(2), 0, kResult);
+  fixture.Submit("r1", 10, std::chrono::seconds(2), 0, kResultBytes);
   for (int i = 0; i < 4; ++i) {
-    fixture.Submit("r2", 2, std::chrono::seconds(2), 0, kResult);
+    fixture.Submit("r2", 2, std::chrono::seconds(2), 0, kResultBytes);
   }
   const auto first = fixture.pool.Dispatch(kStart, fixture.servers);
   cr_assert_eq(first[0].pieces.size(), 10);
@@ -91,31 +89,31 @@
   cr_assert_eq(second[0].pieces.size(), 6);
 }
 
-// The caller sees its answer later when the results of a part of its pieces
-// take up the room that the rest would need.
-Test(stage_pool, group_goes_whole_into_one_call) {
-  constexpr double kResult = 3e6;
+// Results of a part of a group would occupy the storage that its rest needs,
+// and delay the whole group.
+Test(stage_pool, group_that_fits_into_one_call_is_not_split) {
+  constexpr double kResultBytes = 3e6;
   PoolFixture fixture(10, 49e6);
   fixture.servers = {MakeServer("a")};
   fixture.Submit("r1", 8);
-  fixture.Submit("r2", 4, std::chrono::seconds(2), 0, kResult);
+  fixture.Submit("r2", 4, std::chrono::seconds(2), 0, kResultBytes);
   fixture.Submit("small", 2);
   const auto calls = fixture.pool.Dispatch(kStart, fixture.servers);
   cr_assert_eq(calls[0].pieces.size(), 10);
   for (const StagePiece& piece : calls[0].pieces) {
-    cr_assert(piece.result_bytes < kResult);
+    cr_assert(piece.result_bytes < kResultBytes);
   }
 }
 
-Test(stage_pool, room_that_an_urgent_group_lacks_is_kept_for_it) {
-  constexpr double kResult = 3e6;
+Test(stage_pool, result_storage_is_reserved_for_an_urgent_group) {
+  constexpr double kResultBytes = 3e6;
   PoolFixture fixture(10, 30e6);
   fixture.servers = {MakeServer("a")};
-  fixture.Submit("r1", 8, std::chrono::seconds(1), 0, kResult);
+  fixture.Submit("r1", 8, std::chrono::seconds(1), 0, kResultBytes);
   const auto first = fixture.pool.Dispatch(kStart, fixture.servers);
   fixture.Answer(first[0], kStart + 280 * kMs);
-  fixture.Submit("urgent", 6, std::chrono::seconds(1), 0, kResult);
-  fixture.Submit("behind", 1, std::chrono::seconds(2), 0, kResult);
+  fixture.Submit("urgent", 6, std::chrono::seconds(1), 0, kResultBytes);
+  fixture.Submit("behind", 1, std::chrono::seconds(2), 0, kResultBytes);
   cr_assert(fixture.pool.Dispatch(kStart + 290 * kMs, fixture.servers).empty());
 }
 
@@ -127,51 +125,51 @@
                10);
 }
 
-Test(stage_pool, released_results_make_room) {
-  constexpr double kResult = 3e6;
+Test(stage_pool, released_results_free_storage) {
+  constexpr double kResultBytes = 3e6;
   PoolFixture fixture(10, 30e6);
   fixture.servers = {MakeServer("a")};
-  fixture.Submit("r1", 10, std::chrono::seconds(2), 0, kResult);
-  fixture.Submit("r2", 10, std::chrono::seconds(2), 0, kResult);
+  fixture.Submit("r1", 10, std::chrono::seconds(2), 0, kResultBytes);
+  fixture.Submit("r2", 10, std::chrono::seconds(2), 0, kResultBytes);
   const auto first = fixture.pool.Dispatch(kStart, fixture.servers);
   fixture.Answer(first[0], kStart + 280 * kMs);
   cr_assert(fixture.pool.Dispatch(kStart + 280 * kMs, fixture.servers).empty());
-  const auto ended = fixture.pool.TakeEnded();
+  const auto ended = fixture.pool.TakeFinished();
   fixture.pool.OnReleased(ended[0].results);
   const auto second =
       fixture.pool.Dispatch(kStart + 300 * kMs, fixture.servers);
   cr_assert_eq(second[0].pieces.size(), 10);
 }
 
-Test(stage_pool, unreleased_results_run_out) {
-  constexpr double kResult = 3e6;
+Test(stage_pool, unreleased_results_expire) {
+  constexpr double kResultBytes = 3e6;
   PoolFixture fixture(10, 30e6);
   fixture.servers = {MakeServer("a")};
-  fixture.Submit("r1", 10, std::chrono::seconds(2), 0, kResult);
+  fixture.Submit("r1", 10, std::chrono::seconds(2), 0, kResultBytes);
   const auto first = fixture.pool.Dispatch(kStart, fixture.servers);
   fixture.Answer(first[0], kStart + 280 * kMs);
   const TimePoint later = kStart + std::chrono::seconds(5);
-  fixture.Submit("r2", 10, std::chrono::seconds(2), 0, kResult, later);
+  fixture.Submit("r2", 10, std::chrono::seconds(2), 0, kResultBytes, later);
   cr_assert_eq(fixture.pool.Dispatch(later, fixture.servers)[0].pieces.size(),
                10);
 }
 
-// The caller sees its answer some hundred milliseconds later, and not an error.
-// A server dies with a call; the pieces have no effect but their results, so
-// they go to another server, and the dead one is left out.
-Test(stage_pool, broken_call_is_made_again_elsewhere) {
+// A server fails during a call. The pieces have no side effects, so they are
+// run again on another server, and the failed one is avoided.
+Test(stage_pool, broken_call_is_repeated_on_another_server) {
   PoolFixture fixture(10);
   fixture.servers = {MakeServer("a"), MakeServer("b")};
   fixture.Submit("r1", 3);
   const auto first = fixture.pool.Dispatch(kStart, fixture.servers);
-  fixture.pool.OnCallEnd(kStart + 10 * kMs, first[0].id, CallEnd::kBroken, {});
+  fixture.pool.OnCallEnd(kStart + 10 * kMs, first[0].id, CallStatus::kBroken,
+                         {});
   const auto again = fixture.pool.Dispatch(kStart + 11 * kMs, fixture.servers);
   cr_assert_eq(again.size(), 1);
   cr_assert_eq(again[0].pieces.size(), 3);
   cr_assert(again[0].server != first[0].server);
 }
 
-Test(stage_pool, slow_server_is_left_out_while_another_is_open) {
+Test(stage_pool, slow_server_is_skipped_while_another_is_open) {
   PoolFixture fixture(10);
   fixture.servers = {MakeServer("slow"), MakeServer("sound")};
   for (int i = 0; i < 30; ++i) {
@@ -183,21 +181,21 @@
   cr_assert(calls[0].server == fixture.servers[1]);
 }
 
-Test(stage_pool, group_that_can_not_end_in_time_is_given_up_at_once) {
+Test(stage_pool, group_that_can_not_meet_its_deadline_fails_at_once) {
   PoolFixture fixture(10);
   fixture.servers = {MakeServer("a")};
   const StageGroupId group = fixture.Submit("r1", 3);
   const TimePoint late = kStart + std::chrono::milliseconds(5900);
   cr_assert(fixture.pool.Dispatch(late, fixture.servers).empty());
-  const auto ended = fixture.pool.TakeEnded();
+  const auto ended = fixture.pool.TakeFinished();
   cr_assert_eq(ended.size(), 1);
   cr_assert_eq(ended[0].group.value, group.value);
   cr_assert(ended[0].failure == StageFailure::kLate);
 }
 
-// The caller learns at once that it has come for nothing, while it still has
-// time to come back: what goes before it takes longer than it can wait.
-Test(stage_pool, group_behind_too_much_work_is_given_up_at_once) {
+// The work ahead of the group takes longer than its deadline allows. The caller
+// must learn this at once, while it still has time to retry.
+Test(stage_pool, group_behind_too_much_work_fails_at_once) {
   PoolFixture fixture(10);
   fixture.servers = {MakeServer("a")};
   for (int i = 0; i < 30; ++i) {
@@ -206,14 +204,14 @@
   const StageGroupId last =
       fixture.Submit("last", 10, std::chrono::seconds(2), 1);
   fixture.pool.Dispatch(kStart, fixture.servers);
-  const auto ended = fixture.pool.TakeEnded();
-  bool given_up = false;
-  for (const StageGroupEnd& end : ended) {
+  const auto ended = fixture.pool.TakeFinished();
+  bool rejected = false;
+  for (const StageGroupResult& end : ended) {
     cr_assert(end.failure == StageFailure::kLate);
-    given_up |= end.group == last;
+    rejected |= end.group == last;
   }
-  cr_assert(given_up);
-  // A group takes 280 ms of the one server, and all are of use for 6 s.
+  cr_assert(rejected);
+  // Each group takes 280 ms of the only server, and all deadlines are 6 s away.
   cr_assert_geq(ended.size(), 9);
 }
 
@@ -221,11 +219,11 @@
   PoolFixture fixture(10);
   fixture.Submit("r1", 3);
   fixture.pool.Dispatch(kStart, fixture.servers);
-  const auto ended = fixture.pool.TakeEnded();
+  const auto ended = fixture.pool.TakeFinished();
   cr_assert(ended.at(0).failure == StageFailure::kNoServer);
 }
 
-Test(stage_pool, results_of_a_cancelled_group_are_orphans) {
+Test(stage_pool, results_of_a_cancelled_group_are_orphaned) {
   PoolFixture fixture(10);
   fixture.servers = {MakeServer("a")};
   const StageGroupId group = fixture.Submit("r1", 2);
@@ -233,7 +231,7 @@
   fixture.pool.Cancel(group);
   fixture.Answer(calls[0], kStart + 200 * kMs);
   cr_assert_eq(fixture.pool.TakeOrphans().size(), 2);
-  cr_assert(fixture.pool.TakeEnded().empty());
+  cr_assert(fixture.pool.TakeFinished().empty());
 }
 
 Test(stage_pool, lost_input_ends_the_group) {
@@ -241,10 +239,11 @@
   fixture.servers = {MakeServer("a")};
   fixture.Submit("r1", 1);
   const auto calls = fixture.pool.Dispatch(kStart, fixture.servers);
-  const PieceResult gone{PieceEnd::kInputGone, ""};
-  fixture.pool.OnCallEnd(kStart + 160 * kMs, calls[0].id, CallEnd::kAnswered,
+  const PieceResult gone{PieceStatus::kInputGone, ""};
+  fixture.pool.OnCallEnd(kStart + 160 * kMs, calls[0].id, CallStatus::kAnswered,
                          {&gone, 1});
-  cr_assert(fixture.pool.TakeEnded().at(0).failure == StageFailure::kInputGone);
+  cr_assert(fixture.pool.TakeFinished().at(0).failure ==
+            StageFailure::kInputGone);
 }
 
 Test(stage_pool, backlog_counts_late_work_apart) {
@@ -252,6 +251,6 @@
   fixture.Submit("late", 10, 10 * kMs);
   fixture.Submit("timely", 5, std::chrono::seconds(2));
   const Backlog backlog = fixture.pool.BacklogAt(kStart);
-  cr_assert_eq(backlog.in_time.count(), Duration(215 * kMs).count());
-  cr_assert_gt(backlog.all.count(), backlog.in_time.count());
+  cr_assert_eq(backlog.on_time.count(), Duration(215 * kMs).count());
+  cr_assert_gt(backlog.all.count(), backlog.on_time.count());
 }
