--- a/packages/loop/tests/relay_fetches_test.cc
+++ b/packages/loop/tests/relay_fetches_test.cc
@@ -13,7 +13,7 @@
 
 namespace {
 
-/// A server that answers as a test says, and one call to it.
+/// A server whose handler is set by the test, and a client for it.
 struct FetchFixture {
   EventLoop loop;
   RelayServer::Handler handler;
@@ -24,64 +24,64 @@
   RelayClient client{loop};
   RelayFetches fetches{loop, client};
 
-  std::optional<RelayFetchEnd> Fetch(std::uint16_t port) {
+  std::optional<RelayFetchResult> Fetch(std::uint16_t port) {
     constexpr Duration kTimeLimit = milliseconds(300);
-    std::optional<RelayFetchEnd> got;
+    std::optional<RelayFetchResult> received;
     RelayCall call;
     call.endpoint = {"127.0.0.1", port};
     call.message = "GET / HTTP/1.1\r\nHost: h\r\n\r\n";
-    fetches.Start(std::move(call), kTimeLimit, [&](RelayFetchEnd end) {
-      got = std::move(end);
+    fetches.Start(std::move(call), kTimeLimit, [&](RelayFetchResult result) {
+      received = std::move(result);
       loop.Stop();
     });
     loop.After(std::chrono::seconds(5), [this] { loop.Stop(); });
     loop.Run();
-    return got;
+    return received;
   }
 };
 
 }  // namespace
 
-Test(relay_fetches, whole_answer_is_handed_on) {
+Test(relay_fetches, complete_response_is_delivered) {
   FetchFixture fixture;
   fixture.handler = [](const RelayExchangePtr& exchange) {
-    exchange->Answer(200, {}, "all");
+    exchange->Respond(200, {}, "all");
   };
-  const auto end = fixture.Fetch(fixture.server.port());
-  cr_assert(end->whole);
-  cr_assert_eq(end->head.status, 200);
-  cr_assert(end->body == "all");
+  const auto result = fixture.Fetch(fixture.server.port());
+  cr_assert(result->complete);
+  cr_assert_eq(result->head.status, 200);
+  cr_assert(result->body == "all");
 }
 
-Test(relay_fetches, broken_answer_says_how) {
+Test(relay_fetches, failed_call_reports_its_failure) {
   FetchFixture fixture;
   fixture.handler = [](const RelayExchangePtr& exchange) {
     exchange->Begin(200, {});
     exchange->Write("part");
     exchange->Abort();
   };
-  const auto cut = fixture.Fetch(fixture.server.port());
-  cr_assert_not(cut->whole);
-  cr_assert(cut->failure.has_value());
+  const auto truncated = fixture.Fetch(fixture.server.port());
+  cr_assert_not(truncated->complete);
+  cr_assert(truncated->failure.has_value());
   const std::uint16_t port = fixture.server.port();
   fixture.server.StopAccepting();
   const auto refused = fixture.Fetch(port);
   cr_assert(refused->failure == RelayFailure::kNotSent);
 }
 
-// The far end takes the call and never answers: the caller hears of it once,
-// and the connection is closed, so that the far end can stop its work.
-Test(relay_fetches, silent_server_is_given_up_and_closed) {
+// A server accepts a request and never responds. The caller must be notified
+// once, and the connection closed, so that the server can stop working on it.
+Test(relay_fetches, unresponsive_server_times_out_and_is_disconnected) {
   FetchFixture fixture;
   RelayExchangePtr held;
   bool closed = false;
   fixture.handler = [&](RelayExchangePtr exchange) {
     held = std::move(exchange);
-    held->SetOnGone([&closed] { closed = true; });
+    held->SetOnDisconnect([&closed] { closed = true; });
   };
-  const auto end = fixture.Fetch(fixture.server.port());
-  cr_assert_not(end->whole);
-  cr_assert_not(end->failure.has_value());
+  const auto result = fixture.Fetch(fixture.server.port());
+  cr_assert_not(result->complete);
+  cr_assert_not(result->failure.has_value());
   fixture.loop.After(milliseconds(100), [&fixture] { fixture.loop.Stop(); });
   fixture.loop.Run();
   cr_assert(closed);
--- a/packages/loop/tests/rpc_test.cc
+++ b/packages/loop/tests/rpc_test.cc
@@ -13,7 +13,7 @@
 
 namespace {
 
-/// Answers an exchange at once, and a join never.
+/// Responds to exchange() at once and never to join().
 class FakePeer final : public schema::Peer::Server {
  public:
   kj::Promise<void> exchange(ExchangeContext context) override {
@@ -25,8 +25,8 @@
   }
 };
 
-struct Links {
-  Links()
+struct RpcFixture {
+  RpcFixture()
       : server(std::make_unique<RpcServer>(loop,
                                            "127.0.0.1",
                                            0,
@@ -56,64 +56,63 @@
 TestSuite(rpc);
 
 Test(rpc, call_over_loopback_is_answered) {
-  Links links;
-  cr_assert(links.connection->connected());
-  const auto answer =
-      links.peer().exchangeRequest().send().wait(links.loop.wait_scope());
-  cr_assert_eq(answer.getYours().getRevision(), 7);
+  RpcFixture fixture;
+  cr_assert(fixture.connection->connected());
+  const auto response =
+      fixture.peer().exchangeRequest().send().wait(fixture.loop.wait_scope());
+  cr_assert_eq(response.getYours().getRevision(), 7);
 }
 
-// The caller of a join waits for a peer that dies: the call must fail, so that
-// the caller is told, and the link must say once that it is broken.
-Test(rpc, peer_gone_during_a_call_fails_it_and_breaks_the_link) {
-  Links links;
+// A peer dies while a call to it is pending. The call must fail, and the
+// connection must report once that it is broken.
+Test(rpc, peer_death_during_a_call_fails_it_and_breaks_the_connection) {
+  RpcFixture fixture;
   bool failed = false;
-  auto call = links.peer().joinRequest().send().then(
+  auto call = fixture.peer().joinRequest().send().then(
       [](auto&&) {}, [&failed](kj::Exception&&) { failed = true; });
   auto running = call.eagerlyEvaluate(nullptr);
-  links.RunFor(milliseconds(50));
+  fixture.RunFor(milliseconds(50));
   cr_assert_not(failed);
-  links.server.reset();
-  links.RunFor(milliseconds(100));
+  fixture.server.reset();
+  fixture.RunFor(milliseconds(100));
   cr_assert(failed);
-  cr_assert_eq(links.broken, 1);
-  cr_assert_not(links.connection->connected());
+  cr_assert_eq(fixture.broken, 1);
+  cr_assert_not(fixture.connection->connected());
 }
 
-// A daemon gives a silent link up while a call waits on it: the call ends, and
-// nothing of the link is touched after it is gone.
-Test(rpc, link_destroyed_during_a_call_ends_the_call) {
-  Links links;
+// The owner destroys an unresponsive connection while a call on it is pending.
+// The call must end, and nothing may use the connection afterwards.
+Test(rpc, connection_destroyed_during_a_call_ends_the_call) {
+  RpcFixture fixture;
   bool ended = false;
-  auto call = links.peer().joinRequest().send().then(
+  auto call = fixture.peer().joinRequest().send().then(
       [](auto&&) {}, [&ended](kj::Exception&&) { ended = true; });
   auto running = call.eagerlyEvaluate(nullptr);
-  links.RunFor(milliseconds(30));
-  links.connection.reset();
-  links.RunFor(milliseconds(50));
+  fixture.RunFor(milliseconds(30));
+  fixture.connection.reset();
+  fixture.RunFor(milliseconds(50));
   cr_assert(ended);
 }
 
-// The first work for a peer is handed over in the moment in which the link to
-// it is made. It must not come back as failed: the peer lives, and would take
-// it.
+// A call made while the connection to a live peer is being established must be
+// queued and not fail.
 Test(rpc, call_made_while_connecting_is_sent_once_connected) {
-  Links links;
-  RpcConnection connection(links.loop, "127.0.0.1", links.server->port(),
+  RpcFixture fixture;
+  RpcConnection connection(fixture.loop, "127.0.0.1", fixture.server->port(),
                            nullptr);
-  const auto answer = connection.bootstrap()
-                          .castAs<schema::Peer>()
-                          .exchangeRequest()
-                          .send()
-                          .wait(links.loop.wait_scope());
-  cr_assert_eq(answer.getYours().getRevision(), 7);
+  const auto response = connection.bootstrap()
+                            .castAs<schema::Peer>()
+                            .exchangeRequest()
+                            .send()
+                            .wait(fixture.loop.wait_scope());
+  cr_assert_eq(response.getYours().getRevision(), 7);
 }
 
-Test(rpc, call_made_while_connecting_fails_with_the_link) {
-  Links links;
-  const std::uint16_t port = links.server->port();
-  links.server.reset();
-  RpcConnection connection(links.loop, "127.0.0.1", port, nullptr);
+Test(rpc, call_made_while_connecting_fails_if_refused) {
+  RpcFixture fixture;
+  const std::uint16_t port = fixture.server->port();
+  fixture.server.reset();
+  RpcConnection connection(fixture.loop, "127.0.0.1", port, nullptr);
   bool failed = false;
   auto call =
       connection.bootstrap()
@@ -122,45 +121,45 @@
           .send()
           .then([](auto&&) {}, [&failed](kj::Exception&&) { failed = true; })
           .eagerlyEvaluate(nullptr);
-  links.RunFor(milliseconds(50));
+  fixture.RunFor(milliseconds(50));
   cr_assert(failed);
 }
 
-Test(rpc, nobody_listens_breaks_once_and_calls_fail) {
-  Links links;
-  const std::uint16_t port = links.server->port();
-  links.server.reset();
+Test(rpc, refused_connection_breaks_once) {
+  RpcFixture fixture;
+  const std::uint16_t port = fixture.server->port();
+  fixture.server.reset();
   int broken = 0;
-  RpcConnection connection(links.loop, "127.0.0.1", port,
+  RpcConnection connection(fixture.loop, "127.0.0.1", port,
                            [&broken] { ++broken; });
-  links.RunFor(milliseconds(50));
+  fixture.RunFor(milliseconds(50));
   cr_assert_eq(broken, 1);
   cr_assert_not(connection.connected());
 }
 
-// A daemon ended by itself: a peer had gone, the call to it had failed, and the
-// next call to it was made before the link said that it was broken. Such a call
-// has to fail like any other; an exception out of a timer ends the process.
-Test(rpc, call_between_a_peers_end_and_the_links_does_not_throw) {
-  Links links;
+// After a peer has died and a call to it has failed, another call may be made
+// before the connection reports that it is broken. It must fail like any other:
+// an exception thrown out of a timer would terminate the process.
+Test(rpc, call_after_peer_death_before_break_is_reported_does_not_throw) {
+  RpcFixture fixture;
   bool threw = false;
   bool failed_again = false;
   kj::Promise<void> second = kj::READY_NOW;
-  auto first = links.peer().joinRequest().send().then(
+  auto first = fixture.peer().joinRequest().send().then(
       [](auto&&) {},
       [&](kj::Exception&&) {
         const auto thrown = kj::runCatchingExceptions([&] {
-          second = links.peer().exchangeRequest().send().then(
+          second = fixture.peer().exchangeRequest().send().then(
               [](auto&&) {},
               [&failed_again](kj::Exception&&) { failed_again = true; });
         });
         threw = thrown != nullptr;
       });
   auto running = first.eagerlyEvaluate(nullptr);
-  links.server.reset();
-  links.RunFor(milliseconds(100));
+  fixture.server.reset();
+  fixture.RunFor(milliseconds(100));
   auto ended = kj::mv(second).eagerlyEvaluate(nullptr);
-  links.RunFor(milliseconds(50));
+  fixture.RunFor(milliseconds(50));
   cr_assert_not(threw);
   cr_assert(failed_again);
 }
