--- a/packages/base/tests/error_kind_test.cc
+++ b/packages/base/tests/error_kind_test.cc
@@ -6,7 +6,7 @@
 using gentianroute::AnswerFor;
 using gentianroute::ErrorKind;
 using gentianroute::ErrorKindFromNumber;
-using gentianroute::WorkKnown;
+using gentianroute::ExecutionState;
 
 Test(error_kind, number_of_every_kind_round_trips) {
   for (const auto& row : AllErrorAnswers()) {
@@ -20,14 +20,14 @@
   cr_assert(!ErrorKindFromNumber(999).has_value());
 }
 
-// A caller that is told 503 sends the request again. That is right only while
-// nothing ran, so every 503 to a caller must say not_run and when to come back.
-Test(error_kind, service_unavailable_says_not_run_and_when_to_return) {
+// Callers retry on 503. A retry is safe only if no stage has run, so each 503
+// response to a caller must report not_run and have a Retry-After header.
+Test(error_kind, service_unavailable_reports_not_run_and_retry_after) {
   for (const auto& row : AllErrorAnswers()) {
     if (row.http_status != 503 || row.kind == ErrorKind::kPlatformUnreachable) {
       continue;
     }
-    cr_assert(row.work == WorkKnown::kNotRun);
+    cr_assert(row.work == ExecutionState::kNotRun);
     cr_assert(row.retry_after.count() > 0);
   }
 }
--- a/packages/decision/src/prefix_affinity.cc
+++ b/packages/decision/src/prefix_affinity.cc
@@ -14,15 +14,15 @@
   }
   const std::uint64_t missed = same ? event.sequence - cache.sequence - 1 : 0;
   if (!is_new && !same) {
-    Discard(event.engine, cache);
+    DropAll(event.engine, cache);
   }
   if (missed > 0) {
     const std::uint64_t known = std::min(missed, cache.prefixes.size());
-    DropOldest(event.engine, cache, known * cache.most_removed);
+    DropOldest(event.engine, cache, known * cache.max_removed);
   }
   cache.incarnation = event.incarnation;
   cache.sequence = event.sequence;
-  cache.most_removed = std::max(cache.most_removed, event.removed.size());
+  cache.max_removed = std::max(cache.max_removed, event.removed.size());
   for (const std::uint64_t prefix : event.removed) {
     Drop(event.engine, cache, prefix);
   }
@@ -35,23 +35,23 @@
 void PrefixAffinity::Add(const std::string& engine,
                          Cache& cache,
                          std::uint64_t prefix) {
-  Drop(engine, cache, prefix);  // added again: the youngest now
-  cache.ages[prefix] = cache.next_age;
-  cache.prefixes[cache.next_age] = prefix;
-  ++cache.next_age;
+  Drop(engine, cache, prefix);  // added again: becomes the newest
+  cache.insertions[prefix] = cache.next_insertion;
+  cache.prefixes[cache.next_insertion] = prefix;
+  ++cache.next_insertion;
   holders_[prefix].insert(engine);
 }
 
 void PrefixAffinity::Drop(const std::string& engine,
                           Cache& cache,
                           std::uint64_t prefix) {
-  const auto found = cache.ages.find(prefix);
-  if (found == cache.ages.end()) {
+  const auto found = cache.insertions.find(prefix);
+  if (found == cache.insertions.end()) {
     return;
   }
   cache.prefixes.erase(found->second);
-  cache.ages.erase(found);
-  Remove(engine, prefix);
+  cache.insertions.erase(found);
+  RemoveHolder(engine, prefix);
 }
 
 void PrefixAffinity::DropOldest(const std::string& engine,
@@ -62,19 +62,19 @@
   }
 }
 
-void PrefixAffinity::Forget(std::string_view engine) {
+void PrefixAffinity::RemoveEngine(std::string_view engine) {
   const auto found = caches_.find(engine);
   if (found == caches_.end()) {
     return;
   }
-  Discard(found->first, found->second);
+  DropAll(found->first, found->second);
   caches_.erase(found);
 }
 
 bool PrefixAffinity::Holds(std::string_view engine,
                            std::uint64_t prefix) const {
   const auto found = caches_.find(engine);
-  return found != caches_.end() && found->second.ages.contains(prefix);
+  return found != caches_.end() && found->second.insertions.contains(prefix);
 }
 
 const std::set<std::string, std::less<>>& PrefixAffinity::Holders(
@@ -84,12 +84,13 @@
   return found == holders_.end() ? kNone : found->second;
 }
 
-void PrefixAffinity::Discard(const std::string& engine, Cache& cache) {
+void PrefixAffinity::DropAll(const std::string& engine, Cache& cache) {
   DropOldest(engine, cache, cache.prefixes.size());
-  cache.most_removed = 1;
+  cache.max_removed = 1;
 }
 
-void PrefixAffinity::Remove(const std::string& engine, std::uint64_t prefix) {
+void PrefixAffinity::RemoveHolder(const std::string& engine,
+                                  std::uint64_t prefix) {
   const auto found = holders_.find(prefix);
   if (found == holders_.end()) {
     return;
--- a/packages/gateway/src/request_flow.cc
+++ b/packages/gateway/src/request_flow.cc
@@ -88,7 +88,7 @@
                                exchange_->head().target, exchange_->body());
   const TimePoint now = services_.loop.Now();
   if (services_.suspects.IsQuarantined(now, fingerprint_) ||
-      services_.suspects.IsAccused(now, fingerprint_)) {
+      services_.suspects.IsQuarantinePending(now, fingerprint_)) {
     return ErrorKind::kOverloaded;
   }
   return std::nullopt;
@@ -223,7 +223,7 @@
                          std::string_view detail,
                          std::optional<Duration> retry_after) {
   const ErrorAnswer answer = AnswerFor(kind);
-  const bool says_not_run = answer.work == WorkKnown::kNotRun;
+  const bool says_not_run = answer.work == ExecutionState::kNotRun;
   // An answer in the middle of a stream is no answer, and "not run" has to be
   // true: both come up when a broken run can't be made good.
   if (answer_begun_ || (says_not_run && may_have_run_)) {
--- a/packages/loop/src/relay_client.cc
+++ b/packages/loop/src/relay_client.cc
@@ -39,7 +39,7 @@
   }
   const std::string_view value =
       std::string_view(*keep_alive).substr(at + kParameter.size());
-  return std::chrono::seconds(NumberOf(value)) - kKeepAliveMargin;
+  return std::chrono::seconds(ParseLeadingNumber(value)) - kKeepAliveMargin;
 }
 
 }  // namespace
--- a/packages/schema/tests/config_log_test.cc
+++ b/packages/schema/tests/config_log_test.cc
@@ -270,8 +270,8 @@
 Test(config_follower, new_host_with_stale_snapshot_is_not_ready) {
   const JsonConfigCodec codec;
   ConfigFollower follower(codec);
-  follower.Heard(9);
-  follower.KnowEmpty();
+  follower.OnRevisionSeen(9);
+  follower.OnEmptyLog();
   cr_assert(follower.Apply(ConfigSnapshot{3, {}}));
   cr_assert(!follower.known());
   cr_assert(follower.Apply(ConfigSnapshot{9, {}}));
--- a/packages/schema/tests/lease_test.cc
+++ b/packages/schema/tests/lease_test.cc
@@ -57,16 +57,16 @@
 Test(lease, paused_holder_detects_its_expired_lease) {
   Fixture fixture;
   fixture.AdvanceUntilIdle(fixture.first, At(0));
-  cr_assert(fixture.first.MaySend(At(8)));
-  cr_assert(!fixture.first.MaySend(At(9)), "it could arrive after the lease");
+  cr_assert(fixture.first.CanSend(At(8)));
+  cr_assert(!fixture.first.CanSend(At(9)), "it could arrive after the lease");
   for (int second = 1; second <= 12; ++second) {
     fixture.AdvanceUntilIdle(fixture.second, At(second));
     cr_assert(!fixture.second.held());
   }
   fixture.AdvanceUntilIdle(fixture.second, At(13));
-  cr_assert(fixture.second.MaySend(At(13)));
+  cr_assert(fixture.second.CanSend(At(13)));
   cr_assert_eq(fixture.second.fencing(), 2);
-  cr_assert(!fixture.first.MaySend(At(13)));
+  cr_assert(!fixture.first.CanSend(At(13)));
   fixture.AdvanceUntilIdle(fixture.first, At(13));
   cr_assert(!fixture.first.held());
 }
@@ -78,14 +78,14 @@
   Fixture fixture;
   fixture.AdvanceUntilIdle(fixture.first, At(0));
   const std::uint64_t decided = fixture.first.fencing();
-  cr_assert(fixture.first.MaySend(At(1), decided));
+  cr_assert(fixture.first.CanSend(At(1), decided));
   fixture.AdvanceUntilIdle(fixture.second, At(1));
   fixture.AdvanceUntilIdle(fixture.second, At(13));
   fixture.AdvanceUntilIdle(fixture.second, At(14), false);
   fixture.AdvanceUntilIdle(fixture.first, At(14));
   cr_assert_eq(fixture.first.fencing(), 3);
-  cr_assert(fixture.first.MaySend(At(14)));
-  cr_assert(!fixture.first.MaySend(At(14), decided));
+  cr_assert(fixture.first.CanSend(At(14)));
+  cr_assert(!fixture.first.CanSend(At(14), decided));
 }
 
 // The answer to a renewal arrives six seconds late. Other daemons count the
@@ -97,8 +97,8 @@
   cr_assert(fixture.first.Advance(At(3), true) == Step::kTransact);
   const auto result = fixture.Commit(fixture.first.transaction());
   fixture.first.OnTransacted(At(9), result);
-  cr_assert(fixture.first.MaySend(At(11)));
-  cr_assert(!fixture.first.MaySend(At(12)));
+  cr_assert(fixture.first.CanSend(At(11)));
+  cr_assert(!fixture.first.CanSend(At(12)));
 }
 
 // When the answer to an acquisition is lost, the daemon does not know whether
@@ -111,9 +111,9 @@
   cr_assert(fixture.first.Advance(At(0), true) == Step::kTransact);
   fixture.Commit(fixture.first.transaction());
   fixture.first.OnTransacted(At(1), {});
-  cr_assert(!fixture.first.MaySend(At(1)));
+  cr_assert(!fixture.first.CanSend(At(1)));
   fixture.AdvanceUntilIdle(fixture.first, At(4));
-  cr_assert(fixture.first.MaySend(At(4)));
+  cr_assert(fixture.first.CanSend(At(4)));
   cr_assert_eq(fixture.first.fencing(), 2);
 }
 
@@ -121,9 +121,9 @@
   Fixture fixture;
   fixture.AdvanceUntilIdle(fixture.first, At(0));
   fixture.AdvanceUntilIdle(fixture.first, At(1), false);
-  cr_assert(!fixture.first.MaySend(At(1)));
+  cr_assert(!fixture.first.CanSend(At(1)));
   fixture.AdvanceUntilIdle(fixture.second, At(1));
-  cr_assert(fixture.second.MaySend(At(1)));
+  cr_assert(fixture.second.CanSend(At(1)));
 }
 
 // The desired state changes while an order has no answer yet. A second order
@@ -142,7 +142,7 @@
   issuer.SetGroups({{Model("b"), 1, {}}});
   issuer.OnState("e", EngineState{});
   cr_assert(issuer.Advance(At(1), fixture.first).orders.empty());
-  cr_assert(issuer.InFlight(At(1)));
+  cr_assert(issuer.HasOrderInFlight(At(1)));
   fixture.AdvanceUntilIdle(fixture.first, At(3));
   cr_assert_eq(issuer.Advance(At(3), fixture.first).orders.size(), 1);
 }
@@ -163,15 +163,15 @@
   issuer.OnState("e", EngineState{});
   const auto orders = issuer.Advance(At(0), fixture.first).orders;
   cr_assert_eq(orders.size(), 1);
-  cr_assert(issuer.MayWrite(At(1), fixture.first, orders[0]));
-  cr_assert(issuer.InFlight(At(2)));
-  cr_assert(!issuer.InFlight(At(3)));
-  cr_assert(!issuer.MayWrite(At(4), fixture.first, orders[0]));
+  cr_assert(issuer.CanWrite(At(1), fixture.first, orders[0]));
+  cr_assert(issuer.HasOrderInFlight(At(2)));
+  cr_assert(!issuer.HasOrderInFlight(At(3)));
+  cr_assert(!issuer.CanWrite(At(4), fixture.first, orders[0]));
   issuer.OnState("e", EngineState{});
   const auto next = issuer.Advance(At(4), fixture.first).orders;
   cr_assert_eq(next.size(), 1);
-  cr_assert(!issuer.MayWrite(At(4), fixture.first, orders[0]));
-  cr_assert(issuer.MayWrite(At(4), fixture.first, next[0]));
+  cr_assert(!issuer.CanWrite(At(4), fixture.first, orders[0]));
+  cr_assert(issuer.CanWrite(At(4), fixture.first, next[0]));
 }
 
 Test(order_issuer, engine_that_already_runs_a_group_is_kept) {
