--- a/packages/decision/src/coordinator.cc
+++ b/packages/decision/src/coordinator.cc
@@ -37,7 +37,7 @@
   request.arrived = now;
   request.arrived_wall = wall;
   Admit(now, request);
-  DispatchFreed(now);
+  DispatchFreedPools(now);
   return id;
 }
 
@@ -60,7 +60,7 @@
                                : longest;
   request.deadline = now + allowed;
   std::string detail;
-  const std::optional<ErrorKind> refusal = RefusalOf(now, request, detail);
+  const std::optional<ErrorKind> refusal = CheckAdmission(now, request, detail);
   if (refusal.has_value()) {
     Finish(now, request, refusal, std::move(detail), {}, false);
     return;
@@ -70,37 +70,40 @@
     BeginClaim(now, request, 0);
     return;
   }
-  Begin(now, request);
+  EnterFirstStage(now, request);
 }
 
-void Coordinator::Begin(TimePoint now, Request& request) {
-  const StageSpec* dark = DarkStage(now, request);
-  if (dark == nullptr) {
+void Coordinator::EnterFirstStage(TimePoint now, Request& request) {
+  const StageSpec* failing_stage = FindFailingStage(now, request);
+  if (failing_stage == nullptr) {
     EnterStage(now, request);
     return;
   }
-  const Duration failing = pool_health_[dark->pool].TimeSinceFirstFailure(now);
+  const Duration failing =
+      pool_health_[failing_stage->pool].TimeSinceFirstFailure(now);
   Finish(now, request, ErrorKind::kNoServer,
-         "no server of pool '" + dark->pool + "' has answered for " +
+         "no server of pool '" + failing_stage->pool + "' has answered for " +
              std::to_string(failing.count() / 1000) + " ms",
          {}, false);
 }
 
-const StageSpec* Coordinator::DarkStage(TimePoint now, const Request& request) {
+const StageSpec* Coordinator::FindFailingStage(TimePoint now,
+                                               const Request& request) {
   if (!options_.refuse_early) {
     return nullptr;
   }
-  // Who weighs cost more is told soon, since the first stages would be paid for
-  // in vain. Who weighs attainment more goes on waiting: while an outage is
-  // short those that arrive at its end are still answered in time.
-  constexpr int kDeadlinesWaited = 10;
-  const bool thrifty = request.profile->objective == Objective::kCost;
-  const Duration patience =
-      thrifty ? Duration{0} : kDeadlinesWaited * (request.deadline - now);
+  // Profiles that minimise cost are refused early, since the cost of the first
+  // stages would be wasted. The others wait longer: if the outage is short,
+  // requests that arrive near its end can still be answered in time.
+  constexpr int kMaxFailingDeadlines = 10;
+  const bool minimises_cost = request.profile->objective == Objective::kCost;
+  const Duration max_failing_time =
+      minimises_cost ? Duration{0}
+                     : kMaxFailingDeadlines * (request.deadline - now);
   for (const StageSpec& stage : request.profile->stages) {
     const auto health = pool_health_.find(stage.pool);
     if (health != pool_health_.end() &&
-        health->second.IsUnresponsive(now, patience) &&
+        health->second.IsUnresponsive(now, max_failing_time) &&
         !health->second.TryProbe(now)) {
       return &stage;
     }
@@ -108,9 +111,9 @@
   return nullptr;
 }
 
-std::optional<ErrorKind> Coordinator::RefusalOf(TimePoint now,
-                                                const Request& request,
-                                                std::string& detail) {
+std::optional<ErrorKind> Coordinator::CheckAdmission(TimePoint now,
+                                                     const Request& request,
+                                                     std::string& detail) {
   if (suspects_.IsQuarantined(now, request.submission.fingerprint)) {
     detail = "this request crashed the backend servers that ran it";
     return ErrorKind::kQuarantined;
@@ -129,12 +132,12 @@
     detail = std::to_string(queued()) + " requests wait";
     return ErrorKind::kOverloaded;
   }
-  const Duration rest = ExpectedRest(request);
+  const Duration expected = ExpectedRemaining(request);
   const Duration left = request.deadline - now;
   if (options_.refuse_early &&
-      Seconds(left) < options_.least_time * Seconds(rest)) {
+      Seconds(left) < options_.min_time_ratio * Seconds(expected)) {
     detail = std::to_string(request.profile->stages.size()) + " stages need " +
-             std::to_string(rest.count() / 1000) + " ms, " +
+             std::to_string(expected.count() / 1000) + " ms, " +
              std::to_string(left.count() / 1000) + " ms are left";
     return ErrorKind::kDeadlineTooShort;
   }
@@ -146,33 +149,34 @@
 }
 
 bool Coordinator::WouldWaitTooLong(TimePoint now, const Request& request) {
-  const Duration slack = request.deadline - now - ExpectedRest(request);
+  const Duration slack = request.deadline - now - ExpectedRemaining(request);
   for (const StageSpec& stage : request.profile->stages) {
     const auto queue = queues_.find(stage.pool);
     if (queue == queues_.end() || queue->second.empty()) {
       continue;
     }
-    const Duration wait = paces_[stage.pool].WaitFor(queue->second.size());
+    const Duration wait =
+        wait_estimators_[stage.pool].EstimateWait(queue->second.size());
     if (wait > slack &&
-        queue->second.WouldBeWorst(now, WaiterOf(request, stage))) {
+        queue->second.WouldBeLowestPriority(now, WaiterOf(request, stage))) {
       return true;
     }
   }
   return false;
 }
 
-Duration Coordinator::Expected(const StageSpec& stage) const {
-  const auto found = measured_.find(stage.pool);
-  return found == measured_.end() ? stage.expected : found->second;
+Duration Coordinator::ExpectedDuration(const StageSpec& stage) const {
+  const auto found = mean_call_durations_.find(stage.pool);
+  return found == mean_call_durations_.end() ? stage.expected : found->second;
 }
 
-Duration Coordinator::ExpectedRest(const Request& request) const {
-  Duration rest{0};
+Duration Coordinator::ExpectedRemaining(const Request& request) const {
+  Duration expected{0};
   const auto& stages = request.profile->stages;
   for (std::size_t i = request.stage_index; i < stages.size(); ++i) {
-    rest += Expected(stages[i]);
+    expected += ExpectedDuration(stages[i]);
   }
-  return rest;
+  return expected;
 }
 
 void Coordinator::OnCallerGone(TimePoint now, RequestId id) {
@@ -182,18 +186,18 @@
   }
   Request& request = found->second;
   request.caller_gone = true;
-  // An effect that may be under way runs on as well: cutting it off would make
-  // its outcome unknown to everyone.
+  // A call whose effect may be in progress continues too: cancelling it would
+  // leave its outcome unknown.
   if (!request.claim_token.empty() || request.EffectMayHaveRun()) {
     return;
   }
   const ErrorKind kind = request.MayHaveRun() ? ErrorKind::kDeadlineExceeded
                                               : ErrorKind::kDeadlineBeforeStart;
   Finish(now, request, kind, "the caller has gone", {}, false);
-  DispatchFreed(now);
+  DispatchFreedPools(now);
 }
 
-// --- Ends -------------------------------------------------------------------
+// --- Completion -------------------------------------------------------------
 
 void Coordinator::Finish(TimePoint now,
                          Request& request,
@@ -213,7 +217,7 @@
     }
   }
   if (error.has_value()) {
-    // A refusal that says "not run" must be true: no server saw any stage.
+    // "Not run" may only be answered if no server received any call.
     const ExecutionState work = AnswerFor(*error).work;
     GR_INVARIANT(work != ExecutionState::kNotRun || !request.MayHaveRun());
     GR_INVARIANT(work == ExecutionState::kUnknown ||
@@ -244,17 +248,18 @@
   }
   ++(error.has_value() ? counters_.failed : counters_.answered);
   const std::string token = request.claim_token;
-  const bool stood = request.claim_stands;
+  const bool claim_confirmed = request.claim_confirmed;
   const RequestId id = request.id;
   JoinOutcome outcome{JoinState::kFinished, finish.error, finish.body};
   actions_.push_back(std::move(finish));
-  requests_.erase(id);  // exactly once: nothing finds the request any more
+  // From here on no event finds the request, so it finishes only once.
+  requests_.erase(id);
   if (!token.empty()) {
-    if (!stood) {
+    if (!claim_confirmed) {
       outcome = {JoinState::kAbandoned, std::nullopt, {}};
     }
     live_tokens_.erase(token);
-    Remember(now, token, outcome);
+    RecordOutcome(now, token, outcome);
   }
 }
 
@@ -271,9 +276,9 @@
 
 void Coordinator::Advance(TimePoint now) {
   static constexpr std::array<TimerHandler, 6> kHandlers = {
-      &Coordinator::OnDeadline, &Coordinator::OnTooLate,
-      &Coordinator::OnSilence,  &Coordinator::OnHedge,
-      &Coordinator::OnBackOff,  &Coordinator::OnIsolationOver};
+      &Coordinator::OnDeadline,        &Coordinator::OnLatestStart,
+      &Coordinator::OnNextByteTimeout, &Coordinator::OnHedge,
+      &Coordinator::OnBackOff,         &Coordinator::OnIsolationTimeout};
   while (!timers_.empty() && timers_.top().due <= now) {
     const Timer timer = timers_.top();
     timers_.pop();
@@ -281,7 +286,7 @@
         kHandlers[static_cast<std::size_t>(timer.kind)];
     (this->*handler)(now, timer.id);
   }
-  DispatchFreed(now);
+  DispatchFreedPools(now);
 }
 
 void Coordinator::OnDeadline(TimePoint now, std::uint64_t id) {
@@ -303,20 +308,20 @@
   Finish(now, request, kind, detail, {}, false);
 }
 
-void Coordinator::OnTooLate(TimePoint now, std::uint64_t id) {
+void Coordinator::OnLatestStart(TimePoint now, std::uint64_t id) {
   const auto found = requests_.find(RequestId{id});
   if (found == requests_.end() ||
       found->second.phase != RequestPhase::kQueued) {
     return;
   }
   Request& request = found->second;
-  const Duration rest = ExpectedRest(request);
+  const Duration expected = ExpectedRemaining(request);
   const TimePoint latest =
       request.deadline -
-      Duration(static_cast<std::int64_t>(static_cast<double>(rest.count()) *
-                                         options_.least_time));
+      Duration(static_cast<std::int64_t>(static_cast<double>(expected.count()) *
+                                         options_.min_time_ratio));
   if (now < latest) {
-    Arm(latest, TimerKind::kTooLate, id);
+    Arm(latest, TimerKind::kLatestStart, id);
     return;
   }
   OnDeadline(now, id);
--- a/packages/decision/src/coordinator_dispatch.cc
+++ b/packages/decision/src/coordinator_dispatch.cc
@@ -1,5 +1,5 @@
-// Who may go where: dispatch, and the isolation of requests that may crash
-// servers.
+// Dispatch of waiting requests to servers, and isolation of requests that may
+// crash them.
 
 #include <algorithm>
 #include <set>
@@ -12,8 +12,8 @@
 namespace gentianroute {
 namespace {
 
-/// Waiters asked per dispatch before the pool counts as busy.
-constexpr std::size_t kMaxAsked = 16;
+/// Waiters checked per dispatch before the pool is taken to be busy.
+constexpr std::size_t kMaxWaitersChecked = 16;
 
 void Append(std::vector<ServerRef>& to, const std::vector<ServerRef>& from) {
   to.insert(to.end(), from.begin(), from.end());
@@ -30,23 +30,24 @@
   while (!found->second.empty()) {
     ServerRef server;
     std::vector<RequestId> refused;
-    const auto may_go = [&](const FairQueue::Waiter& candidate) {
+    const auto can_start = [&](const FairQueue::Waiter& candidate) {
       Request& request = requests_.at(candidate.request);
-      if (IsPastHope(now, request)) {
+      if (MustRefuse(now, request)) {
         refused.push_back(request.id);
         return false;
       }
-      return MayGo(now, request, server);
+      return TryPickServer(now, request, server);
     };
-    // Held suspects are not counted as asked: many of them at the front would
-    // else stop everyone behind them.
-    const auto held = [&](const FairQueue::Waiter& candidate) {
+    // Suspects on hold don't count as checked; otherwise many of them at the
+    // front would block all requests behind them.
+    const auto skip = [&](const FairQueue::Waiter& candidate) {
       const Request& request = requests_.at(candidate.request);
-      return !IsPastHope(now, request) && IsHeld(now, request);
+      return !MustRefuse(now, request) && IsHeld(now, request);
     };
-    const auto waiter = found->second.Pop(now, may_go, kMaxAsked, held);
+    const auto waiter =
+        found->second.Pop(now, can_start, kMaxWaitersChecked, skip);
     if (waiter.has_value()) {
-      paces_[std::string(pool)].OnStart(now, !found->second.empty());
+      wait_estimators_[std::string(pool)].OnStart(now, !found->second.empty());
       Start(now, requests_.at(waiter->request), std::move(server));
     }
     for (const RequestId request : refused) {
@@ -58,7 +59,7 @@
   }
 }
 
-void Coordinator::DispatchFreed(TimePoint now) {
+void Coordinator::DispatchFreedPools(TimePoint now) {
   while (!freed_pools_.empty()) {
     const std::set<std::string> pools = std::exchange(freed_pools_, {});
     for (const std::string& pool : pools) {
@@ -67,9 +68,10 @@
   }
 }
 
-bool Coordinator::IsPastHope(TimePoint now, const Request& request) const {
-  // Quarantine may have come from a peer, or from a twin, while it waited. A
-  // daemon that was paused may dispatch before its deadline timers have run.
+bool Coordinator::MustRefuse(TimePoint now, const Request& request) const {
+  // A peer or a request with the same fingerprint may have caused a quarantine
+  // while this one waited. A daemon that was paused may dispatch before its
+  // deadline timers have run.
   return now >= request.deadline ||
          suspects_.IsQuarantined(now, request.submission.fingerprint);
 }
@@ -91,25 +93,25 @@
 }
 
 bool Coordinator::IsHeld(TimePoint now, const Request& request) const {
-  // An accused request waits for the proof. Twins of a suspect go one at a
-  // time: side by side they would crash several servers before the first crash
-  // is known.
+  // An accused request waits until the crash is confirmed or ruled out.
+  // Suspects with the same fingerprint run one at a time: in parallel they
+  // could crash several servers before the first crash is noticed.
   const Fingerprint fingerprint = request.submission.fingerprint;
   return suspects_.IsQuarantinePending(now, fingerprint) ||
          (running_.contains(fingerprint) &&
           suspects_.IsSuspect(now, fingerprint));
 }
 
-ServerRef Coordinator::Listed(const ServerRef& server) const {
+ServerRef Coordinator::CurrentRecordOf(const ServerRef& server) const {
   const auto found = servers_.servers().find(server->host.name);
   return found == servers_.servers().end() ? server : found->second;
 }
 
 std::vector<ServerRef> Coordinator::BusyServers() const {
   std::vector<ServerRef> busy;
-  busy.reserve(at_server_.size());
-  for (const auto& [server, attempts] : at_server_) {
-    busy.push_back(Listed(attempts.front().server));
+  busy.reserve(attempts_by_server_.size());
+  for (const auto& [server, attempts] : attempts_by_server_) {
+    busy.push_back(CurrentRecordOf(attempts.front().server));
   }
   return busy;
 }
@@ -118,7 +120,7 @@
   std::vector<ServerRef> servers;
   servers.reserve(suspect_servers_.size());
   for (const ServerRef& server : suspect_servers_) {
-    servers.push_back(Listed(server));
+    servers.push_back(CurrentRecordOf(server));
   }
   return servers;
 }
@@ -133,12 +135,12 @@
   return servers;
 }
 
-std::vector<ServerRef> Coordinator::ServersWithEffects() const {
+std::vector<ServerRef> Coordinator::ServersWithUnrepeatableCalls() const {
   std::vector<ServerRef> servers;
   for (const auto& [id, attempt] : attempts_) {
     const Request& request = requests_.at(attempt.request);
     if (!request.profile->stages[attempt.stage_index].MayRepeat()) {
-      servers.push_back(Listed(attempt.server));
+      servers.push_back(CurrentRecordOf(attempt.server));
     }
   }
   return servers;
@@ -150,10 +152,10 @@
   context.pool = stage.pool;
   context.objective = request.profile->objective;
   context.cross_region = request.profile->cross_region;
-  context.expected = Expected(stage);
-  context.expected_remaining = ExpectedRest(request);
+  context.expected = ExpectedDuration(stage);
+  context.expected_remaining = ExpectedRemaining(request);
   context.queue_wait =
-      paces_[stage.pool].WaitFor(queues_.at(stage.pool).size());
+      wait_estimators_[stage.pool].EstimateWait(queues_.at(stage.pool).size());
   context.remaining = request.deadline - now;
   context.prefix = stage.streams ? request.submission.prefix : 0;
   context.bytes = request.submission.body.size();
@@ -170,73 +172,78 @@
   return server != nullptr;
 }
 
-bool Coordinator::MayGo(TimePoint now, Request& request, ServerRef& server) {
+bool Coordinator::TryPickServer(TimePoint now,
+                                Request& request,
+                                ServerRef& server) {
   const StageSpec& stage = request.stage();
   PickContext context = ContextOf(now, request);
   if (suspects_.IsSuspect(now, request.submission.fingerprint)) {
-    return MayGoSuspect(now, request, context, server);
+    return TryPickServerForSuspect(now, request, context, server);
   }
   const std::vector<ServerRef> isolated = IsolatedServers(now, stage.pool);
-  std::vector<ServerRef> best = isolated;
-  Append(best, request.tried);
-  if (Pick(now, context, best, server) ||
+  std::vector<ServerRef> preferably_avoided = isolated;
+  Append(preferably_avoided, request.tried_servers);
+  if (Pick(now, context, preferably_avoided, server) ||
       Pick(now, context, isolated, server)) {
     return true;
   }
   if (isolated.empty() || !stage.MayRepeat() ||
       request.phase != RequestPhase::kQueued) {
-    // Beside a suspect a call could be cut off: one that can't be made again,
-    // or a hedge, gains nothing there.
+    // A crash caused by the suspect would end this call too, so a call that
+    // must not be repeated, or a hedge, doesn't run beside one.
     return false;
   }
-  if (now >= request.isolate_until) {
-    return Pick(now, context, request.tried, server) ||
+  if (now >= request.isolation_deadline) {
+    return Pick(now, context, request.tried_servers, server) ||
            Pick(now, context, {}, server);
   }
-  WaitForIsolation(request);
+  ArmIsolationTimer(request);
   context.excluded = isolated;
-  const bool others_work = servers_.LeastBusy(now, context) != nullptr;
-  return !others_work && ReservationAt(now, stage.pool) == nullptr &&
+  const bool can_run_elsewhere = servers_.LeastBusy(now, context) != nullptr;
+  return !can_run_elsewhere && ReservationAt(now, stage.pool) == nullptr &&
          Pick(now, context, {}, server);
 }
 
-bool Coordinator::MayGoSuspect(TimePoint now,
-                               Request& request,
-                               PickContext& context,
-                               ServerRef& server) {
+bool Coordinator::TryPickServerForSuspect(TimePoint now,
+                                          Request& request,
+                                          PickContext& context,
+                                          ServerRef& server) {
   const std::string& pool = request.stage().pool;
-  if (!MoreSuspectsMayRun(pool)) {
+  if (!CanRunMoreSuspects(pool)) {
     return false;
   }
-  // Best is an idle server, where the crash hits nobody else. One that has just
-  // died looks idle too, hence only one in favour at first.
+  // An idle server comes first, since a crash there affects no other request. A
+  // server that has just crashed looks idle as well, hence at first only
+  // servers without recent failures.
   const std::vector<ServerRef> busy = BusyServers();
-  std::vector<ServerRef> best = busy;
-  Append(best, request.tried);
+  std::vector<ServerRef> preferably_avoided = busy;
+  Append(preferably_avoided, request.tried_servers);
   context.exclude_ejected = true;
-  if (Pick(now, context, best, server)) {
+  if (Pick(now, context, preferably_avoided, server)) {
     return true;
   }
-  if (now < request.isolate_until) {
-    WaitForIsolation(request);
+  if (now < request.isolation_deadline) {
+    ArmIsolationTimer(request);
     if (ReservationAt(now, pool) != nullptr) {
       return false;
     }
     std::vector<ServerRef> avoid = SuspectServers();
-    Append(avoid, request.tried);
+    Append(avoid, request.tried_servers);
     context.excluded = avoid;
-    const ServerRef quiet = servers_.LeastBusy(now, context);
-    if (quiet != nullptr) {
-      reservations_[pool] = {quiet, request.id};
+    const ServerRef least_busy = servers_.LeastBusy(now, context);
+    if (least_busy != nullptr) {
+      reservations_[pool] = {least_busy, request.id};
       return false;
     }
   }
-  // Never two suspects on one server, or its crash would name neither, and
-  // never beside a call whose outcome a crash would leave unknown.
-  std::vector<ServerRef> last = IsolatedServers(now, pool);
-  Append(last, ServersWithEffects());
+  // Never two suspects on one server, since its crash would not tell which one
+  // caused it, and never beside a call whose outcome a crash would leave
+  // unknown.
+  std::vector<ServerRef> always_avoided = IsolatedServers(now, pool);
+  Append(always_avoided, ServersWithUnrepeatableCalls());
   context.exclude_ejected = false;
-  return Pick(now, context, busy, server) || Pick(now, context, last, server);
+  return Pick(now, context, busy, server) ||
+         Pick(now, context, always_avoided, server);
 }
 
 const Coordinator::Reservation* Coordinator::ReservationAt(
@@ -248,13 +255,14 @@
   }
   const auto& [server, holder] = found->second;
   const auto request = requests_.find(holder);
-  const bool lasts =
+  const bool valid =
       request != requests_.end() &&
       request->second.phase == RequestPhase::kQueued &&
-      now < request->second.isolate_until && !IsHeld(now, request->second) &&
+      now < request->second.isolation_deadline &&
+      !IsHeld(now, request->second) &&
       suspects_.IsSuspect(now, request->second.submission.fingerprint) &&
       server->IsAccepting() && now >= server->ejected_until;
-  return lasts ? &found->second : nullptr;
+  return valid ? &found->second : nullptr;
 }
 
 void Coordinator::StartReserved(TimePoint now,
@@ -264,31 +272,32 @@
   if (reservation == nullptr || reservation->server->in_flight > 0) {
     return;
   }
-  // In its turn it could come after more waiters than are asked, and the server
-  // would stand idle.
+  // Popped in queue order, the holder could come after more waiters than are
+  // checked, and the server would stay idle.
   const RequestId holder = reservation->holder;
   ServerRef server = reservation->server;
-  const auto may_go = [&](const FairQueue::Waiter& candidate) {
+  const auto can_start = [&](const FairQueue::Waiter& candidate) {
     Request& request = requests_.at(candidate.request);
-    return !IsPastHope(now, request) && MayGo(now, request, server);
+    return !MustRefuse(now, request) && TryPickServer(now, request, server);
   };
-  const auto others = [holder](const FairQueue::Waiter& candidate) {
+  const auto skip = [holder](const FairQueue::Waiter& candidate) {
     return candidate.request != holder;
   };
-  if (queue.Pop(now, may_go, 1, others).has_value()) {
-    paces_[std::string(pool)].OnStart(now, !queue.empty());
+  if (queue.Pop(now, can_start, 1, skip).has_value()) {
+    wait_estimators_[std::string(pool)].OnStart(now, !queue.empty());
     Start(now, requests_.at(holder), std::move(server));
   }
 }
 
-void Coordinator::WaitForIsolation(Request& request) {
-  if (!request.isolation_timed && request.phase == RequestPhase::kQueued) {
-    request.isolation_timed = true;
-    Arm(request.isolate_until, TimerKind::kIsolation, request.id.value);
+void Coordinator::ArmIsolationTimer(Request& request) {
+  if (!request.isolation_timer_armed &&
+      request.phase == RequestPhase::kQueued) {
+    request.isolation_timer_armed = true;
+    Arm(request.isolation_deadline, TimerKind::kIsolation, request.id.value);
   }
 }
 
-void Coordinator::OnIsolationOver(TimePoint now, std::uint64_t id) {
+void Coordinator::OnIsolationTimeout(TimePoint now, std::uint64_t id) {
   const auto found = requests_.find(RequestId{id});
   if (found != requests_.end() &&
       found->second.phase == RequestPhase::kQueued) {
@@ -297,9 +306,9 @@
   }
 }
 
-bool Coordinator::MoreSuspectsMayRun(std::string_view pool) const {
-  // After a crash of a large batch its neighbours would else take all servers,
-  // one each, and every newcomer would run beside some suspect.
+bool Coordinator::CanRunMoreSuspects(std::string_view pool) const {
+  // Without the limit, the requests of a large batch that crashed would occupy
+  // all servers, one each, and every new request would run beside a suspect.
   constexpr std::ptrdiff_t kServersPerSuspect = 4;
   const auto running = std::ranges::count_if(
       suspect_servers_,
@@ -312,12 +321,12 @@
 }
 
 void Coordinator::OnReset(TimePoint now, const Attempt& attempt) {
-  // One crash breaks every connection at once: the second that breaks confirms
-  // it, and those that follow are no new crash.
-  constexpr Duration kAtOnce = std::chrono::milliseconds(200);
-  const bool follows =
-      attempt.crash_at != TimePoint{} && now < attempt.crash_at + kAtOnce;
-  if (follows) {
+  // A crash resets all connections at once: the second reset confirms the
+  // crash, and further ones within the window are not counted as new crashes.
+  constexpr Duration kSameCrashWindow = std::chrono::milliseconds(200);
+  const bool same_crash = attempt.suspected_crash_at != TimePoint{} &&
+                          now < attempt.suspected_crash_at + kSameCrashWindow;
+  if (same_crash) {
     suspects_.OnServerDown(now, attempt.server->host.name);
   } else {
     OnCrash(now, *attempt.server);
@@ -325,13 +334,14 @@
 }
 
 void Coordinator::OnCrash(TimePoint now, const Server& server) {
-  // By name: a process that restarted before the list said so has calls under
-  // the record of its last incarnation too, and dies with all of them.
-  // Twins share a fingerprint and count once: else one crash of a batch with
-  // three equal letters in it would be three crashes of that letter.
+  // Servers are compared by name: if the process restarted before the list of
+  // hosts showed it, calls are recorded under its previous incarnation too, and
+  // a crash ends all of them. Requests with the same fingerprint count once;
+  // otherwise one crash of a batch with three equal requests would count as
+  // three crashes.
   std::set<Fingerprint> in_flight;
   std::set<Fingerprint> suspects;
-  for (auto& [record, attempts] : at_server_) {
+  for (auto& [record, attempts] : attempts_by_server_) {
     if (record->host.name != server.host.name) {
       continue;
     }
@@ -341,12 +351,12 @@
       }
     }
   }
-  for (auto& [record, attempts] : at_server_) {
+  for (auto& [record, attempts] : attempts_by_server_) {
     if (record->host.name != server.host.name) {
       continue;
     }
     for (Attempt& other : attempts) {
-      other.crash_at = now;
+      other.suspected_crash_at = now;
       other.crashed_beside_suspect =
           suspects.size() > suspects.count(other.fingerprint);
       if (other.written) {
@@ -360,13 +370,13 @@
                                         : listed->second->host.incarnation;
   suspects_.OnCrash(now, server.host.name, incarnation,
                     std::vector(in_flight.begin(), in_flight.end()));
-  MarkRunningTwins(in_flight);
+  MarkRunningDuplicates(in_flight);
 }
 
-void Coordinator::MarkRunningTwins(const std::set<Fingerprint>& suspects) {
-  // Equal requests run elsewhere already. Unless they count as suspects too,
-  // the guilty one is sent beside them and each of its crashes is held against
-  // them.
+void Coordinator::MarkRunningDuplicates(const std::set<Fingerprint>& suspects) {
+  // Requests with the same fingerprint may run on other servers. Unless they
+  // are marked too, the request that causes the crashes may be sent beside
+  // them, and each of its crashes would count against them.
   for (auto& [id, attempt] : attempts_) {
     if (!attempt.suspect && suspects.contains(attempt.fingerprint)) {
       attempt.suspect = true;
@@ -375,11 +385,13 @@
   }
 }
 
-void Coordinator::OnSignOfLife(TimePoint now, Attempt& attempt) {
-  // Had the server crashed, this call would have broken with the other one.
-  if (attempt.crash_at != TimePoint{} && now > attempt.crash_at) {
+void Coordinator::OnServerResponding(TimePoint now, Attempt& attempt) {
+  // If the server had crashed, this call's connection would have been reset
+  // too.
+  if (attempt.suspected_crash_at != TimePoint{} &&
+      now > attempt.suspected_crash_at) {
     suspects_.OnServerAlive(now, attempt.server->host.name);
-    attempt.crash_at = {};
+    attempt.suspected_crash_at = {};
   }
 }
 
--- a/packages/decision/tests/claims_test.cc
+++ b/packages/decision/tests/claims_test.cc
@@ -17,31 +17,32 @@
 
 const TableKey kRow{"claims", "org/key-1"};
 
-/// @brief The only step that the ledger wants done.
-ClaimStep OnlyStep(Bench& bench) {
-  std::vector<ClaimStep> steps = bench.core.claims.TakeSteps();
-  cr_assert_eq(steps.size(), 1U);
-  return steps.front();
+/// @brief Takes the ledger's operations, of which there must be exactly one.
+ClaimOperation OnlyOperation(Bench& bench) {
+  std::vector<ClaimOperation> operations = bench.core.claims.TakeOperations();
+  cr_assert_eq(operations.size(), 1U);
+  return operations.front();
 }
 
-/// @brief The write's answer is lost and the read-back finds no row; the write
-/// takes effect only afterwards, if at all.
+/// @brief Loses the answer to the claim's write and lets the read-back find no
+/// row.
+/// @return the write, which the test may apply afterwards
 TableTransaction LoseClaimWrite(Bench& bench) {
   bench.Advance(milliseconds(5));
-  const ClaimStep write = OnlyStep(bench);
-  bench.core.claims.OnTransacted(bench.now, write.step,
+  const ClaimOperation write = OnlyOperation(bench);
+  bench.core.claims.OnTransacted(bench.now, write.id,
                                  {TableStatus::kUnknown, {}, {}});
-  const ClaimStep read = OnlyStep(bench);
-  bench.core.claims.OnRead(bench.now, read.step, bench.table.Read(read.reads));
+  const ClaimOperation read = OnlyOperation(bench);
+  bench.core.claims.OnRead(bench.now, read.id, bench.table.Read(read.reads));
   bench.Advance(Duration{0});
   return write.transaction;
 }
 
 }  // namespace
 
-// The answer to the claim's write is lost and the row is not there on reading
-// back. The caller is told "not run"; the write takes effect afterwards, and
-// the abandoned token must still never be called under.
+// The answer to the claim's write is lost and the read-back finds no row, so
+// the caller is told that nothing ran. When the write takes effect afterwards,
+// the abandoned token must not be dispatched.
 Test(claims, write_that_takes_effect_after_the_read_back_runs_nothing) {
   Bench bench(Orders());
   const RequestId id = bench.Submit(Order());
@@ -52,8 +53,8 @@
   cr_assert(bench.starts.empty());
 }
 
-// As above, and then the caller sends the key again to the same daemon. The row
-// is the daemon's own abandoned token: it takes the row over and runs once.
+// As above, then the caller resends to the same daemon. The row holds the
+// daemon's own abandoned token, so it replaces the row and runs once.
 Test(claims, resend_takes_over_an_abandoned_token_of_its_own_daemon) {
   Bench bench(Orders());
   bench.Submit(Order());
@@ -66,8 +67,8 @@
   cr_assert(!bench.FinishOf(resend)->error.has_value());
 }
 
-// The resend goes to another daemon. It asks the first, which says that the
-// token was abandoned; it then replaces the row as read and runs once.
+// The resend goes to another daemon, which asks the first one. Told that the
+// token was abandoned, it replaces the row and runs once.
 Test(claims, resend_takes_over_an_abandoned_token_of_a_peer) {
   Bench first(Orders());
   first.Submit(Order());
@@ -76,30 +77,31 @@
   second.table.Transact(late);
   const RequestId resend = second.Submit(Order());
   second.Settle();
-  cr_assert_eq(second.asks.size(), 1U);
-  const std::string token = second.asks.at(0).claim.token;
+  cr_assert_eq(second.queries.size(), 1U);
+  const std::string token = second.queries.at(0).claim.token;
   first.coordinator().Join(first.now, token);
-  first.Take();
+  first.TakeActions();
   cr_assert(first.joins.at(0).outcome.state == JoinState::kAbandoned);
-  second.coordinator().OnClaimerAnswered(second.now, resend, token,
-                                         first.joins.at(0).outcome);
+  second.coordinator().OnClaimHolderAnswered(second.now, resend, token,
+                                             first.joins.at(0).outcome);
   second.Settle();
   cr_assert_eq(second.starts.size(), 1U);
 }
 
-// A peer asks about a token whose write took effect while its own daemon still
-// waits for the answer. It is neither abandoned nor unknown: the peer waits.
+// A peer asks about a token whose write took effect while its daemon still
+// waits for the answer. It is neither abandoned nor unknown, so the peer must
+// wait for the outcome.
 Test(claims, join_of_a_token_still_being_claimed_waits_for_its_outcome) {
   Bench bench(Orders());
   bench.Submit(Order());
   bench.Advance(milliseconds(5));
-  const ClaimStep write = OnlyStep(bench);
+  const ClaimOperation write = OnlyOperation(bench);
   const TransactResult written = bench.table.Transact(write.transaction);
   const auto holder = bench.core.codec.Decode(bench.table.Read(kRow).value);
   bench.coordinator().Join(bench.now, holder->token);
-  bench.Take();
+  bench.TakeActions();
   cr_assert(bench.joins.empty());
-  bench.core.claims.OnTransacted(bench.now, write.step, written);
+  bench.core.claims.OnTransacted(bench.now, write.id, written);
   bench.Advance(Duration{0});
   bench.Write(bench.starts.at(0).attempt);
   bench.Answer(bench.starts.at(0).attempt, "1");
@@ -107,9 +109,9 @@
   cr_assert(bench.joins.at(0).outcome.body == "1");
 }
 
-// A peer's "abandoned" for one token arrives again after the request has met
-// another holder, who runs. Believing it would take the row over and order a
-// second plaque.
+// A peer's answer "abandoned" arrives twice, the second time after the request
+// has found another holder that runs. Acting on it would replace that holder's
+// row and run the order twice.
 Test(claims, doubled_answer_of_a_claimer_does_not_replace_the_next_holder) {
   Bench bench(Orders());
   Claim old{"org", "key-1", "plaque", "daemon-2:1:1", "daemon-2", 1};
@@ -120,28 +122,30 @@
   bench.table.Transact({{{kRow, bench.table.Read(kRow).version}},
                         {{kRow, bench.core.codec.Encode(next)}}});
   const JoinOutcome abandoned{JoinState::kAbandoned, std::nullopt, {}};
-  bench.coordinator().OnClaimerAnswered(bench.now, id, old.token, abandoned);
+  bench.coordinator().OnClaimHolderAnswered(bench.now, id, old.token,
+                                            abandoned);
   bench.Settle();
-  cr_assert_eq(bench.asks.size(), 2U);
-  bench.coordinator().OnClaimerAnswered(bench.now, id, old.token, abandoned);
+  cr_assert_eq(bench.queries.size(), 2U);
+  bench.coordinator().OnClaimHolderAnswered(bench.now, id, old.token,
+                                            abandoned);
   bench.Settle();
   cr_assert(bench.starts.empty());
-  cr_assert_eq(bench.asks.size(), 2U);
+  cr_assert_eq(bench.queries.size(), 2U);
 }
 
-// The deadline passes while the claim is in flight, and the claim then stands.
-// Nothing ran: the caller was told so, and the key is given back for a resend.
+// The deadline passes before the claim is confirmed. Nothing ran, so the key
+// must be released for a resend.
 Test(claims, claim_that_stands_after_the_deadline_is_given_back) {
   Bench bench(Orders());
   Submission order = Order();
   order.timeout = milliseconds(100);
   const RequestId id = bench.Submit(std::move(order));
   bench.Advance(milliseconds(5));
-  const ClaimStep write = OnlyStep(bench);
+  const ClaimOperation write = OnlyOperation(bench);
   const TransactResult written = bench.table.Transact(write.transaction);
   bench.Advance(milliseconds(200));
   cr_assert(bench.FinishOf(id)->error == ErrorKind::kDeadlineBeforeStart);
-  bench.core.claims.OnTransacted(bench.now, write.step, written);
+  bench.core.claims.OnTransacted(bench.now, write.id, written);
   bench.Settle();
   const auto row = bench.core.codec.Decode(bench.table.Read(kRow).value);
   cr_assert(row->state == ClaimState::kNotRun);
@@ -150,8 +154,8 @@
   cr_assert_eq(bench.starts.size(), 1U);
 }
 
-// The same key twice at one daemon: one call, and both callers get its answer.
-// With another body it is a conflict, told at once.
+// Two requests with the same key at one daemon: one call runs and both get its
+// answer. A request with another body is refused as a conflict.
 Test(claims, same_key_twice_is_called_once_and_both_are_answered) {
   Bench bench(Orders());
   const RequestId first = bench.Submit(Order());
@@ -171,8 +175,8 @@
   cr_assert_eq(bench.starts.size(), 1U);
 }
 
-// The order was written and never answered. A resend, also one to a restarted
-// daemon, must be told that the outcome is unknown, and never runs the order.
+// An order was written and never answered. A resend, also to a restarted
+// daemon, must be told that the outcome is unknown, and must not run the order.
 Test(claims, resend_after_an_unanswered_order_is_told_the_outcome_is_unknown) {
   Bench bench(Orders());
   const RequestId first = bench.Submit(Order());
@@ -186,9 +190,9 @@
   cr_assert_eq(bench.starts.size(), 1U);
 }
 
-// An earlier arrival of the key ran, at another daemon. Its resend is refused
-// before the row was read: "not run" is true of this arrival alone, and the
-// answer says that the key was not looked at. Once the row was read it doesn't.
+// A request refused before its claim row was read may be a resend of one that
+// ran at another daemon. The refusal must say that the key was not checked;
+// after the row was read it must not.
 Test(claims, refusal_before_the_row_is_read_says_key_not_checked) {
   Bench bench(Orders());
   bench.List({});
