--- a/packages/gateway/include/gentianroute/gateway/detail/gateway_impl.h
+++ b/packages/gateway/include/gentianroute/gateway/detail/gateway_impl.h
@@ -14,7 +14,7 @@
 #include "gentianroute/gateway/request_journal.h"
 #include "gentianroute/gateway/result_releases.h"
 #include "gentianroute/gateway/retry_ledger.h"
-#include "gentianroute/gateway/stage_desk.h"
+#include "gentianroute/gateway/stage_scheduler.h"
 #include "gentianroute/gateway/stage_work.h"
 #include "gentianroute/gateway/start_queue.h"
 #include "gentianroute/gateway/store_follower.h"
@@ -342,7 +342,7 @@
   StoreFollower server_rows_;
   Cluster cluster_;
   ResultReleases releases_;
-  StageDesk desk_;
+  StageScheduler desk_;
   StageWork stages_;
   RetryLedger retries_;
   routing::ServiceTimeEstimates paces_;
--- a/packages/gateway/include/gentianroute/gateway/stage_desk.h
+++ b/packages/gateway/include/gentianroute/gateway/stage_scheduler.h
@@ -1,5 +1,5 @@
-#ifndef GENTIANROUTE_GATEWAY_STAGE_DESK_H_
-#define GENTIANROUTE_GATEWAY_STAGE_DESK_H_
+#ifndef GENTIANROUTE_GATEWAY_STAGE_SCHEDULER_H_
+#define GENTIANROUTE_GATEWAY_STAGE_SCHEDULER_H_
 
 #include <functional>
 #include <map>
@@ -23,14 +23,14 @@
 
 /// @brief Runs the stage pools that this daemon schedules, and sends their
 /// calls.
-class StageDesk {
+class StageScheduler {
  public:
-  StageDesk(EventLoop& loop,
-            RelayClient& client,
-            const Translator& translator,
-            routing::ServerDirectory& servers,
-            ResultReleases& releases);
-  ~StageDesk();
+  StageScheduler(EventLoop& loop,
+                 RelayClient& client,
+                 const Translator& translator,
+                 routing::ServerDirectory& servers,
+                 ResultReleases& releases);
+  ~StageScheduler();
 
   void SetTable(routing::RouteTablePtr table);
   /// @brief Runs a group in the pool of a service in a data centre.
@@ -83,4 +83,4 @@
 
 }  // namespace gentianroute::gateway
 
-#endif  // GENTIANROUTE_GATEWAY_STAGE_DESK_H_
+#endif  // GENTIANROUTE_GATEWAY_STAGE_SCHEDULER_H_
--- a/packages/gateway/include/gentianroute/gateway/stage_work.h
+++ b/packages/gateway/include/gentianroute/gateway/stage_work.h
@@ -10,7 +10,7 @@
 #include <vector>
 
 #include "gentianroute/gateway/cluster.h"
-#include "gentianroute/gateway/stage_desk.h"
+#include "gentianroute/gateway/stage_scheduler.h"
 #include "gentianroute/routing/pool_choice.h"
 #include "gentianroute/routing/route_table.h"
 #include "gentianroute/routing/server_directory.h"
@@ -30,7 +30,7 @@
  public:
   StageWork(EventLoop& loop,
             Cluster& cluster,
-            StageDesk& desk,
+            StageScheduler& desk,
             routing::ServerDirectory& servers,
             const routing::Topology& topology);
   ~StageWork();
@@ -83,7 +83,7 @@
 
   EventLoop& loop_;
   Cluster& cluster_;
-  StageDesk& desk_;
+  StageScheduler& desk_;
   routing::ServerDirectory& servers_;
   const routing::Topology& topology_;
   routing::RouteTablePtr table_;
--- a/packages/gateway/src/stage_desk.cc
+++ b/packages/gateway/src/stage_scheduler.cc
@@ -1,4 +1,4 @@
-#include "gentianroute/gateway/stage_desk.h"
+#include "gentianroute/gateway/stage_scheduler.h"
 
 #include <algorithm>
 #include <utility>
@@ -16,7 +16,7 @@
 
 }  // namespace
 
-struct StageDesk::Pool {
+struct StageScheduler::Pool {
   Pool(std::string service_name,
        std::string place,
        routing::StageCapacity capacity)
@@ -33,7 +33,7 @@
   bool work_due = false;
 };
 
-class StageDesk::Hold final : public GroupHold {
+class StageScheduler::Hold final : public GroupHold {
  public:
   Hold(Pool& pool, routing::StageGroupId group) : pool_(pool), group_(group) {}
   ~Hold() override {
@@ -47,24 +47,24 @@
   routing::StageGroupId group_;
 };
 
-StageDesk::StageDesk(EventLoop& loop,
-                     RelayClient& client,
-                     const Translator& translator,
-                     routing::ServerDirectory& servers,
-                     ResultReleases& releases)
+StageScheduler::StageScheduler(EventLoop& loop,
+                               RelayClient& client,
+                               const Translator& translator,
+                               routing::ServerDirectory& servers,
+                               ResultReleases& releases)
     : loop_(loop),
       fetches_(loop, client),
       translator_(translator),
       servers_(servers),
       releases_(releases) {}
 
-StageDesk::~StageDesk() {
+StageScheduler::~StageScheduler() {
   for (const auto& [key, pool] : pools_) {
     loop_.Cancel(pool->timer);
   }
 }
 
-void StageDesk::SetTable(routing::RouteTablePtr table) {
+void StageScheduler::SetTable(routing::RouteTablePtr table) {
   table_ = std::move(table);
   for (const auto& [key, pool] : pools_) {
     const routing::ServiceSpec* spec = table_->FindService(pool->service);
@@ -74,8 +74,8 @@
   }
 }
 
-StageDesk::Pool* StageDesk::PoolFor(std::string_view service,
-                                    std::string_view data_centre) {
+StageScheduler::Pool* StageScheduler::PoolFor(std::string_view service,
+                                              std::string_view data_centre) {
   const PoolKey key{std::string(service), std::string(data_centre)};
   const auto found = pools_.find(key);
   if (found != pools_.end()) {
@@ -91,10 +91,10 @@
   return pools_.emplace(key, std::move(pool)).first->second.get();
 }
 
-std::unique_ptr<GroupHold> StageDesk::Run(std::string_view service,
-                                          std::string_view data_centre,
-                                          routing::StageGroup group,
-                                          GroupDone done) {
+std::unique_ptr<GroupHold> StageScheduler::Run(std::string_view service,
+                                               std::string_view data_centre,
+                                               routing::StageGroup group,
+                                               GroupDone done) {
   Pool* pool = PoolFor(service, data_centre);
   if (pool == nullptr) {
     loop_.After(Duration{0}, [done = std::move(done)] {
@@ -111,7 +111,8 @@
   return std::make_unique<Hold>(*pool, id);
 }
 
-std::vector<routing::ServerPtr> StageDesk::ServersOf(const Pool& pool) const {
+std::vector<routing::ServerPtr> StageScheduler::ServersOf(
+    const Pool& pool) const {
   std::vector<routing::ServerPtr> servers;
   for (const routing::ServerPtr& server : servers_.ServersOf(pool.service)) {
     if (server->record().data_centre == pool.data_centre) {
@@ -121,7 +122,7 @@
   return servers;
 }
 
-void StageDesk::Work(Pool& pool) {
+void StageScheduler::Work(Pool& pool) {
   const auto calls = pool.pool.Dispatch(loop_.Now(), ServersOf(pool));
   for (const routing::StageCall& call : calls) {
     Send(pool, call);
@@ -134,7 +135,7 @@
   }
 }
 
-void StageDesk::Send(Pool& pool, const routing::StageCall& call) {
+void StageScheduler::Send(Pool& pool, const routing::StageCall& call) {
   const TimePoint now = loop_.Now();
   std::vector<StagePieceRequest> pieces;
   pieces.reserve(call.pieces.size());
@@ -162,9 +163,9 @@
                  });
 }
 
-void StageDesk::TellCall(const Pool& pool,
-                         const routing::StageCall& call,
-                         std::span<const StagePieceRequest> pieces) {
+void StageScheduler::TellCall(const Pool& pool,
+                              const routing::StageCall& call,
+                              std::span<const StagePieceRequest> pieces) {
   // One request's pieces follow each other.
   std::string requests;
   std::string_view last;
@@ -186,8 +187,8 @@
       .Field("expected_ms", WholeMilliseconds(call.expected));
 }
 
-StageAnswer StageDesk::ReadEnd(const Pool& pool,
-                               const RelayFetchResult& end) const {
+StageAnswer StageScheduler::ReadEnd(const Pool& pool,
+                                    const RelayFetchResult& end) const {
   if (end.complete) {
     return translator_.ReadStageAnswer(end.head, end.body);
   }
@@ -200,15 +201,15 @@
   return {routing::CallStatus::kBroken, {}};
 }
 
-void StageDesk::OnCallEnd(Pool& pool,
-                          routing::StageCallId call,
-                          const StageAnswer& answer) {
+void StageScheduler::OnCallEnd(Pool& pool,
+                               routing::StageCallId call,
+                               const StageAnswer& answer) {
   pool.pool.OnCallEnd(loop_.Now(), call, answer.end, answer.results);
   Settle(pool);
   WorkLater(pool);
 }
 
-void StageDesk::WorkLater(Pool& pool) {
+void StageScheduler::WorkLater(Pool& pool) {
   if (std::exchange(pool.work_due, true)) {
     return;
   }
@@ -218,7 +219,7 @@
   });
 }
 
-void StageDesk::Settle(Pool& pool) {
+void StageScheduler::Settle(Pool& pool) {
   for (routing::StageGroupResult& end : pool.pool.TakeFinished()) {
     const auto found = pool.waiting.find(end.group);
     if (found == pool.waiting.end()) {
@@ -233,9 +234,9 @@
   releases_.Release(std::move(orphans));
 }
 
-void StageDesk::Release(std::string_view service,
-                        std::string_view data_centre,
-                        std::vector<std::string> results) {
+void StageScheduler::Release(std::string_view service,
+                             std::string_view data_centre,
+                             std::vector<std::string> results) {
   Pool* pool = PoolFor(service, data_centre);
   if (pool != nullptr) {
     pool->pool.OnReleased(results);
@@ -246,7 +247,7 @@
   releases_.Release(std::move(results));
 }
 
-void StageDesk::ForEachPool(
+void StageScheduler::ForEachPool(
     TimePoint now,
     const std::function<
         void(std::string_view, std::string_view, routing::Backlog)>& visit)
--- a/packages/gateway/src/stage_work.cc
+++ b/packages/gateway/src/stage_work.cc
@@ -135,7 +135,7 @@
 
 StageWork::StageWork(EventLoop& loop,
                      Cluster& cluster,
-                     StageDesk& desk,
+                     StageScheduler& desk,
                      routing::ServerDirectory& servers,
                      const routing::Topology& topology)
     : loop_(loop),
