--- a/packages/gateway/include/gentianroute/gateway/detail/gateway_impl.h
+++ b/packages/gateway/include/gentianroute/gateway/detail/gateway_impl.h
@@ -14,8 +14,8 @@
 #include "gentianroute/gateway/request_journal.h"
 #include "gentianroute/gateway/result_releases.h"
 #include "gentianroute/gateway/retry_ledger.h"
+#include "gentianroute/gateway/stage_router.h"
 #include "gentianroute/gateway/stage_scheduler.h"
-#include "gentianroute/gateway/stage_work.h"
 #include "gentianroute/gateway/start_queue.h"
 #include "gentianroute/gateway/store_follower.h"
 #include "gentianroute/loop/relay_server.h"
@@ -343,7 +343,7 @@
   Cluster cluster_;
   ResultReleases releases_;
   StageScheduler desk_;
-  StageWork stages_;
+  StageRouter stages_;
   RetryLedger retries_;
   routing::ServiceTimeEstimates paces_;
   routing::RequestWeights weights_;
--- a/packages/gateway/include/gentianroute/gateway/request_flow.h
+++ b/packages/gateway/include/gentianroute/gateway/request_flow.h
@@ -17,7 +17,7 @@
 #include "gentianroute/gateway/cluster.h"
 #include "gentianroute/gateway/request_journal.h"
 #include "gentianroute/gateway/retry_ledger.h"
-#include "gentianroute/gateway/stage_work.h"
+#include "gentianroute/gateway/stage_router.h"
 #include "gentianroute/gateway/translator.h"
 #include "gentianroute/loop/relay_client.h"
 #include "gentianroute/loop/relay_server.h"
@@ -37,7 +37,7 @@
   const Translator& translator;
   routing::ServerDirectory& servers;
   const routing::Topology& topology;
-  StageWork& stages;
+  StageRouter& stages;
   Cluster& cluster;
   RetryLedger& retries;
   routing::ServiceTimeEstimates& paces;
--- a/packages/gateway/include/gentianroute/gateway/stage_work.h
+++ b/packages/gateway/include/gentianroute/gateway/stage_router.h
@@ -1,5 +1,5 @@
-#ifndef GENTIANROUTE_GATEWAY_STAGE_WORK_H_
-#define GENTIANROUTE_GATEWAY_STAGE_WORK_H_
+#ifndef GENTIANROUTE_GATEWAY_STAGE_ROUTER_H_
+#define GENTIANROUTE_GATEWAY_STAGE_ROUTER_H_
 
 #include <functional>
 #include <map>
@@ -26,14 +26,14 @@
 
 /// @brief Hands the stages of this daemon's requests to the pools, here or at
 /// the daemons that schedule them.
-class StageWork {
+class StageRouter {
  public:
-  StageWork(EventLoop& loop,
-            Cluster& cluster,
-            StageScheduler& desk,
-            routing::ServerDirectory& servers,
-            const routing::Topology& topology);
-  ~StageWork();
+  StageRouter(EventLoop& loop,
+              Cluster& cluster,
+              StageScheduler& desk,
+              routing::ServerDirectory& servers,
+              const routing::Topology& topology);
+  ~StageRouter();
 
   void SetTable(routing::RouteTablePtr table) { table_ = std::move(table); }
   void OnBacklog(TimePoint now,
@@ -95,4 +95,4 @@
 
 }  // namespace gentianroute::gateway
 
-#endif  // GENTIANROUTE_GATEWAY_STAGE_WORK_H_
+#endif  // GENTIANROUTE_GATEWAY_STAGE_ROUTER_H_
--- a/packages/gateway/src/stage_work.cc
+++ b/packages/gateway/src/stage_router.cc
@@ -1,4 +1,4 @@
-#include "gentianroute/gateway/stage_work.h"
+#include "gentianroute/gateway/stage_router.h"
 
 #include <algorithm>
 #include <iterator>
@@ -20,9 +20,9 @@
 
 /// One group on its way: chooses a pool and its scheduler, and again if that
 /// one breaks off.
-class StageWork::Handed final : public GroupHold {
+class StageRouter::Handed final : public GroupHold {
  public:
-  Handed(StageWork& work,
+  Handed(StageRouter& work,
          std::string_view service,
          routing::StageGroup group,
          routing::PoolWork load,
@@ -121,7 +121,7 @@
     done({std::move(outcome), data_centre_});
   }
 
-  StageWork& work_;
+  StageRouter& work_;
   std::string service_;
   routing::StageGroup group_;
   routing::PoolWork load_;
@@ -133,11 +133,11 @@
   TimerId timer_;
 };
 
-StageWork::StageWork(EventLoop& loop,
-                     Cluster& cluster,
-                     StageScheduler& desk,
-                     routing::ServerDirectory& servers,
-                     const routing::Topology& topology)
+StageRouter::StageRouter(EventLoop& loop,
+                         Cluster& cluster,
+                         StageScheduler& desk,
+                         routing::ServerDirectory& servers,
+                         const routing::Topology& topology)
     : loop_(loop),
       cluster_(cluster),
       desk_(desk),
@@ -146,27 +146,27 @@
   release_timer_ = loop_.Every(kReleasePeriod, [this] { FlushReleases(); });
 }
 
-StageWork::~StageWork() {
+StageRouter::~StageRouter() {
   loop_.Cancel(release_timer_);
 }
 
-void StageWork::OnBacklog(TimePoint now,
-                          std::string_view service,
-                          std::string_view data_centre,
-                          routing::Backlog backlog) {
+void StageRouter::OnBacklog(TimePoint now,
+                            std::string_view service,
+                            std::string_view data_centre,
+                            routing::Backlog backlog) {
   board_.Report(now,
                 {std::string(service), std::string(data_centre), 0, backlog});
 }
 
-const routing::StageCapacity* StageWork::CapacityOf(
+const routing::StageCapacity* StageRouter::CapacityOf(
     std::string_view service) const {
   const routing::ServiceSpec* spec =
       table_ == nullptr ? nullptr : table_->FindService(service);
   return spec != nullptr && spec->stage ? &*spec->stage : nullptr;
 }
 
-std::vector<routing::PoolState> StageWork::PoolsOf(TimePoint now,
-                                                   std::string_view service) {
+std::vector<routing::PoolState> StageRouter::PoolsOf(TimePoint now,
+                                                     std::string_view service) {
   std::map<std::string, std::uint32_t> open;
   for (const routing::ServerPtr& server : servers_.ServersOf(service)) {
     const bool usable = server->open() && !server->history().IsAvoided(now);
@@ -182,7 +182,7 @@
   return pools;
 }
 
-std::unique_ptr<GroupHold> StageWork::Run(
+std::unique_ptr<GroupHold> StageRouter::Run(
     std::string_view service,
     routing::StageGroup group,
     std::vector<routing::PlacedBytes> inputs,
@@ -199,15 +199,15 @@
                                   std::move(load), std::move(done));
 }
 
-void StageWork::Release(std::string_view service,
-                        std::string_view data_centre,
-                        std::vector<std::string> results) {
+void StageRouter::Release(std::string_view service,
+                          std::string_view data_centre,
+                          std::vector<std::string> results) {
   auto& waiting = released_[{std::string(service), std::string(data_centre)}];
   waiting.insert(waiting.end(), std::make_move_iterator(results.begin()),
                  std::make_move_iterator(results.end()));
 }
 
-void StageWork::FlushReleases() {
+void StageRouter::FlushReleases() {
   for (auto& [pool, results] : std::exchange(released_, {})) {
     const std::string& scheduler = cluster_.SchedulerOf(pool);
     if (cluster_.IsSelf(scheduler)) {
@@ -218,7 +218,7 @@
   }
 }
 
-Duration StageWork::TimeFor(TimePoint now, const routing::StagePlan& plan) {
+Duration StageRouter::TimeFor(TimePoint now, const routing::StagePlan& plan) {
   std::vector<Duration> done(plan.stages(), Duration{0});
   Duration last{0};
   for (std::uint32_t stage = 0; stage < plan.stages(); ++stage) {
@@ -243,8 +243,8 @@
   return last;
 }
 
-Duration StageWork::LeastAfter(const routing::StagePlan& plan,
-                               std::uint32_t stage) const {
+Duration StageRouter::LeastAfter(const routing::StagePlan& plan,
+                                 std::uint32_t stage) const {
   return plan.LongestChainAfter(stage, [this](const routing::StageSpec& spec) {
     const routing::StageCapacity* capacity = CapacityOf(spec.service);
     return capacity == nullptr ? Duration{0}
@@ -252,8 +252,8 @@
   });
 }
 
-Duration StageWork::UsualAfter(const routing::StagePlan& plan,
-                               std::uint32_t stage) const {
+Duration StageRouter::UsualAfter(const routing::StagePlan& plan,
+                                 std::uint32_t stage) const {
   return plan.LongestChainAfter(stage, [this](const routing::StageSpec& spec) {
     const routing::StageCapacity* capacity = CapacityOf(spec.service);
     return capacity == nullptr ? Duration{0}
@@ -261,7 +261,7 @@
   });
 }
 
-Duration StageWork::BusyFor(TimePoint now, const routing::StagePlan& plan) {
+Duration StageRouter::BusyFor(TimePoint now, const routing::StagePlan& plan) {
   Duration busiest{0};
   for (std::uint32_t stage = 0; stage < plan.stages(); ++stage) {
     Duration free_in = Duration::max();
@@ -278,7 +278,7 @@
   return busiest;
 }
 
-bool StageWork::HasServers(const routing::StagePlan& plan) const {
+bool StageRouter::HasServers(const routing::StagePlan& plan) const {
   for (std::uint32_t stage = 0; stage < plan.stages(); ++stage) {
     const auto& servers = servers_.ServersOf(plan.spec(stage).service);
     const bool open = std::any_of(
@@ -291,7 +291,7 @@
   return true;
 }
 
-void StageWork::OnPeerGone(std::string_view peer) {
+void StageRouter::OnPeerGone(std::string_view peer) {
   for (Handed* handed : std::vector<Handed*>(handed_)) {
     handed->OnPeerGone(peer);
   }
