--- a/packages/gateway/include/gentianroute/gateway/cluster.h
+++ b/packages/gateway/include/gentianroute/gateway/cluster.h
@@ -41,10 +41,10 @@
   virtual void OnPeerGone(std::string_view peer) = 0;
   /// @brief Runs a group for a peer; `done` is called once unless the hold is
   /// let go before.
-  virtual std::unique_ptr<GroupHold> RunGroup(std::string_view service,
-                                              std::string_view data_centre,
-                                              routing::StageGroup group,
-                                              GroupDone done) = 0;
+  virtual std::unique_ptr<GroupHandle> RunGroup(std::string_view service,
+                                                std::string_view data_centre,
+                                                routing::StageGroup group,
+                                                GroupDone done) = 0;
   /// @brief Results of servers that this daemon schedules are of no more use.
   virtual void OnReleased(std::string_view service,
                           std::string_view data_centre,
@@ -85,7 +85,7 @@
 
   /// @brief Hands a group to another daemon; as PeerCalls::RunGroup.
   /// @param peer one that SchedulerOf has named
-  std::unique_ptr<GroupHold> RunGroupAt(
+  std::unique_ptr<GroupHandle> RunGroupAt(
       std::string_view peer,
       const PoolKey& pool,
       const routing::StageGroup& group,
--- a/packages/gateway/include/gentianroute/gateway/detail/gateway_impl.h
+++ b/packages/gateway/include/gentianroute/gateway/detail/gateway_impl.h
@@ -109,10 +109,10 @@
   void FillBeat(schema::Beat::Builder beat, Load load) override;
   void OnBeat(schema::Beat::Reader beat) override;
   void OnPeerGone(std::string_view peer) override;
-  std::unique_ptr<GroupHold> RunGroup(std::string_view service,
-                                      std::string_view data_centre,
-                                      routing::StageGroup group,
-                                      GroupDone done) override {
+  std::unique_ptr<GroupHandle> RunGroup(std::string_view service,
+                                        std::string_view data_centre,
+                                        routing::StageGroup group,
+                                        GroupDone done) override {
     return desk_.Run(service, data_centre, std::move(group), std::move(done));
   }
   void OnReleased(std::string_view service,
--- a/packages/gateway/include/gentianroute/gateway/group_outcome.h
+++ b/packages/gateway/include/gentianroute/gateway/group_outcome.h
@@ -18,9 +18,9 @@
 using GroupDone = std::function<void(GroupOutcome)>;
 
 /// @brief Work on a group that is dropped when the last holder lets go.
-class GroupHold {
+class GroupHandle {
  public:
-  virtual ~GroupHold() = default;
+  virtual ~GroupHandle() = default;
 };
 
 }  // namespace gentianroute::gateway
--- a/packages/gateway/include/gentianroute/gateway/peer_calls.h
+++ b/packages/gateway/include/gentianroute/gateway/peer_calls.h
@@ -39,7 +39,7 @@
   /// @param done called once: with the outcome, or with nothing if the peer
   /// broke off and the pieces may have been made. Not called once the hold is
   /// let go.
-  std::unique_ptr<GroupHold> RunGroup(
+  std::unique_ptr<GroupHandle> RunGroup(
       const DaemonState& peer,
       const PoolKey& pool,
       const routing::StageGroup& group,
--- a/packages/gateway/include/gentianroute/gateway/request_flow.h
+++ b/packages/gateway/include/gentianroute/gateway/request_flow.h
@@ -168,7 +168,7 @@
   TimerId stages_timer_;
 
   std::optional<routing::StagePlan> plan_;
-  std::map<std::uint32_t, std::unique_ptr<GroupHold>> running_;
+  std::map<std::uint32_t, std::unique_ptr<GroupHandle>> running_;
   std::map<std::uint32_t, std::string> results_in_;  ///< data centre, by stage
   /// Data centre of the server that will probably read the results.
   Duration stages_expected_{};
--- a/packages/gateway/include/gentianroute/gateway/stage_router.h
+++ b/packages/gateway/include/gentianroute/gateway/stage_router.h
@@ -45,11 +45,11 @@
   /// @param inputs where the inputs lie
   /// @param read_in data centre of what reads the results, if known
   /// @return let go of it to drop the work; `done` is not called then
-  std::unique_ptr<GroupHold> Run(std::string_view service,
-                                 routing::StageGroup group,
-                                 std::vector<routing::PlacedBytes> inputs,
-                                 std::string_view read_in,
-                                 Done done);
+  std::unique_ptr<GroupHandle> Run(std::string_view service,
+                                   routing::StageGroup group,
+                                   std::vector<routing::PlacedBytes> inputs,
+                                   std::string_view read_in,
+                                   Done done);
 
   /// @brief Frees the room of results that nobody will read any more.
   void Release(std::string_view service,
--- a/packages/gateway/include/gentianroute/gateway/stage_scheduler.h
+++ b/packages/gateway/include/gentianroute/gateway/stage_scheduler.h
@@ -35,10 +35,10 @@
   void SetTable(routing::RouteTablePtr table);
   /// @brief Runs a group in the pool of a service in a data centre.
   /// @param done called once, later; never once the hold is let go
-  std::unique_ptr<GroupHold> Run(std::string_view service,
-                                 std::string_view data_centre,
-                                 routing::StageGroup group,
-                                 GroupDone done);
+  std::unique_ptr<GroupHandle> Run(std::string_view service,
+                                   std::string_view data_centre,
+                                   routing::StageGroup group,
+                                   GroupDone done);
   /// @brief Visits each pool that has had work here lately.
   void ForEachPool(
       TimePoint now,
--- a/packages/gateway/src/cluster.cc
+++ b/packages/gateway/src/cluster.cc
@@ -80,14 +80,14 @@
     auto done = kj::newPromiseAndFulfiller<void>();
     auto fulfiller = std::make_shared<kj::Own<kj::PromiseFulfiller<void>>>(
         kj::mv(done.fulfiller));
-    std::unique_ptr<GroupHold> hold = cluster_.handler_.RunGroup(
+    std::unique_ptr<GroupHandle> hold = cluster_.handler_.RunGroup(
         service, data_centre, ReadGroup(cluster_.loop_.Now(), group),
         [context, fulfiller](const GroupOutcome& outcome) mutable {
           WriteOutcome(outcome, context.getResults().initOutcome());
           (*fulfiller)->fulfill();
         });
     return done.promise.attach(
-        kj::heap<std::unique_ptr<GroupHold>>(std::move(hold)));
+        kj::heap<std::unique_ptr<GroupHandle>>(std::move(hold)));
   }
 
   kj::Promise<void> release(ReleaseContext context) override {
@@ -335,7 +335,7 @@
       [this](schema::StoreCopy::Reader copy) { handler_.OnStoreCopy(copy); });
 }
 
-std::unique_ptr<GroupHold> Cluster::RunGroupAt(
+std::unique_ptr<GroupHandle> Cluster::RunGroupAt(
     std::string_view peer,
     const PoolKey& pool,
     const routing::StageGroup& group,
--- a/packages/gateway/src/peer_calls.cc
+++ b/packages/gateway/src/peer_calls.cc
@@ -29,7 +29,7 @@
 }  // namespace
 
 /// A group that a peer runs. Letting go of it cancels the call.
-class PeerCalls::RemoteGroup final : public GroupHold {
+class PeerCalls::RemoteGroup final : public GroupHandle {
  public:
   using Done = std::function<void(std::optional<GroupOutcome>)>;
 
@@ -122,7 +122,7 @@
       .castAs<schema::Cluster>();
 }
 
-std::unique_ptr<GroupHold> PeerCalls::RunGroup(
+std::unique_ptr<GroupHandle> PeerCalls::RunGroup(
     const DaemonState& peer,
     const PoolKey& pool,
     const routing::StageGroup& group,
--- a/packages/gateway/src/stage_router.cc
+++ b/packages/gateway/src/stage_router.cc
@@ -20,7 +20,7 @@
 
 /// One group on its way: chooses a pool and its scheduler, and again if that
 /// one breaks off.
-class StageRouter::Handed final : public GroupHold {
+class StageRouter::Handed final : public GroupHandle {
  public:
   Handed(StageRouter& work,
          std::string_view service,
@@ -129,7 +129,7 @@
   std::string data_centre_;
   std::string scheduler_;
   std::uint32_t schedulers_ = 0;
-  std::unique_ptr<GroupHold> hold_;
+  std::unique_ptr<GroupHandle> hold_;
   TimerId timer_;
 };
 
@@ -182,7 +182,7 @@
   return pools;
 }
 
-std::unique_ptr<GroupHold> StageRouter::Run(
+std::unique_ptr<GroupHandle> StageRouter::Run(
     std::string_view service,
     routing::StageGroup group,
     std::vector<routing::PlacedBytes> inputs,
--- a/packages/gateway/src/stage_scheduler.cc
+++ b/packages/gateway/src/stage_scheduler.cc
@@ -33,7 +33,7 @@
   bool work_due = false;
 };
 
-class StageScheduler::Hold final : public GroupHold {
+class StageScheduler::Hold final : public GroupHandle {
  public:
   Hold(Pool& pool, routing::StageGroupId group) : pool_(pool), group_(group) {}
   ~Hold() override {
@@ -91,16 +91,16 @@
   return pools_.emplace(key, std::move(pool)).first->second.get();
 }
 
-std::unique_ptr<GroupHold> StageScheduler::Run(std::string_view service,
-                                               std::string_view data_centre,
-                                               routing::StageGroup group,
-                                               GroupDone done) {
+std::unique_ptr<GroupHandle> StageScheduler::Run(std::string_view service,
+                                                 std::string_view data_centre,
+                                                 routing::StageGroup group,
+                                                 GroupDone done) {
   Pool* pool = PoolFor(service, data_centre);
   if (pool == nullptr) {
     loop_.After(Duration{0}, [done = std::move(done)] {
       done({routing::StageFailure::kNoServer, {}});
     });
-    return std::make_unique<GroupHold>();
+    return std::make_unique<GroupHandle>();
   }
   const TimePoint now = loop_.Now();
   pool->used = now;
