--- a/packages/gateway/include/gentianroute/gateway/detail/gateway_impl.h
+++ b/packages/gateway/include/gentianroute/gateway/detail/gateway_impl.h
@@ -13,7 +13,7 @@
 #include "gentianroute/gateway/request_flow.h"
 #include "gentianroute/gateway/request_journal.h"
 #include "gentianroute/gateway/result_releases.h"
-#include "gentianroute/gateway/retry_ledger.h"
+#include "gentianroute/gateway/retry_budgets.h"
 #include "gentianroute/gateway/stage_router.h"
 #include "gentianroute/gateway/stage_scheduler.h"
 #include "gentianroute/gateway/start_queue.h"
@@ -344,7 +344,7 @@
   ResultReleases releases_;
   StageScheduler desk_;
   StageRouter stages_;
-  RetryLedger retries_;
+  RetryBudgets retries_;
   routing::ServiceTimeEstimates paces_;
   routing::RequestWeights weights_;
   StartQueue starting_;
--- a/packages/gateway/include/gentianroute/gateway/request_flow.h
+++ b/packages/gateway/include/gentianroute/gateway/request_flow.h
@@ -16,7 +16,7 @@
 #include "gentianroute/decision/suspect_table.h"
 #include "gentianroute/gateway/cluster.h"
 #include "gentianroute/gateway/request_journal.h"
-#include "gentianroute/gateway/retry_ledger.h"
+#include "gentianroute/gateway/retry_budgets.h"
 #include "gentianroute/gateway/stage_router.h"
 #include "gentianroute/gateway/translator.h"
 #include "gentianroute/loop/relay_client.h"
@@ -39,7 +39,7 @@
   const routing::Topology& topology;
   StageRouter& stages;
   Cluster& cluster;
-  RetryLedger& retries;
+  RetryBudgets& retries;
   routing::ServiceTimeEstimates& paces;
   routing::RequestWeights& weights;
   SuspectTable& suspects;
--- a/packages/gateway/include/gentianroute/gateway/retry_ledger.h
+++ b/packages/gateway/include/gentianroute/gateway/retry_budgets.h
@@ -1,5 +1,5 @@
-#ifndef GENTIANROUTE_GATEWAY_RETRY_LEDGER_H_
-#define GENTIANROUTE_GATEWAY_RETRY_LEDGER_H_
+#ifndef GENTIANROUTE_GATEWAY_RETRY_BUDGETS_H_
+#define GENTIANROUTE_GATEWAY_RETRY_BUDGETS_H_
 
 #include <algorithm>
 #include <cstddef>
@@ -13,13 +13,13 @@
 
 /// @brief This daemon's part of the retries that all daemons may send to a
 /// service: a share of its requests, and a part of a common slack.
-class RetryLedger {
+class RetryBudgets {
  public:
   /// Kept back, so that daemons which see different numbers of each other
   /// still keep the common bound.
   static constexpr double kUsed = 0.7;
 
-  RetryLedger(double ratio, double slack) : ratio_(ratio), slack_(slack) {}
+  RetryBudgets(double ratio, double slack) : ratio_(ratio), slack_(slack) {}
 
   void OnRequest(std::string_view service, std::size_t daemons) {
     Of(service, daemons).OnSuccess();
@@ -49,4 +49,4 @@
 
 }  // namespace gentianroute::gateway
 
-#endif  // GENTIANROUTE_GATEWAY_RETRY_LEDGER_H_
+#endif  // GENTIANROUTE_GATEWAY_RETRY_BUDGETS_H_
