--- a/packages/gateway/include/gentianroute/gateway/detail/gateway_impl.h
+++ b/packages/gateway/include/gentianroute/gateway/detail/gateway_impl.h
@@ -12,7 +12,7 @@
 #include "gentianroute/gateway/gateway.h"
 #include "gentianroute/gateway/request_flow.h"
 #include "gentianroute/gateway/request_journal.h"
-#include "gentianroute/gateway/result_releases.h"
+#include "gentianroute/gateway/result_releaser.h"
 #include "gentianroute/gateway/retry_budgets.h"
 #include "gentianroute/gateway/stage_router.h"
 #include "gentianroute/gateway/stage_scheduler.h"
@@ -341,7 +341,7 @@
   StoreFollower deployment_;
   StoreFollower server_rows_;
   Cluster cluster_;
-  ResultReleases releases_;
+  ResultReleaser releases_;
   StageScheduler desk_;
   StageRouter stages_;
   RetryBudgets retries_;
--- a/packages/gateway/include/gentianroute/gateway/result_releases.h
+++ b/packages/gateway/include/gentianroute/gateway/result_releaser.h
@@ -1,5 +1,5 @@
-#ifndef GENTIANROUTE_GATEWAY_RESULT_RELEASES_H_
-#define GENTIANROUTE_GATEWAY_RESULT_RELEASES_H_
+#ifndef GENTIANROUTE_GATEWAY_RESULT_RELEASER_H_
+#define GENTIANROUTE_GATEWAY_RESULT_RELEASER_H_
 
 #include <cstdint>
 #include <map>
@@ -18,12 +18,12 @@
 /// A result takes up room at its maker until it is released or runs out after
 /// seconds; without releases a server of large results is full after a few
 /// calls and turns pieces away. Releases to one server share a call.
-class ResultReleases {
+class ResultReleaser {
  public:
-  ResultReleases(EventLoop& loop,
+  ResultReleaser(EventLoop& loop,
                  RelayClient& client,
                  const Translator& translator);
-  ~ResultReleases();
+  ~ResultReleaser();
 
   void Release(std::vector<std::string> results);
 
@@ -40,4 +40,4 @@
 
 }  // namespace gentianroute::gateway
 
-#endif  // GENTIANROUTE_GATEWAY_RESULT_RELEASES_H_
+#endif  // GENTIANROUTE_GATEWAY_RESULT_RELEASER_H_
--- a/packages/gateway/include/gentianroute/gateway/stage_scheduler.h
+++ b/packages/gateway/include/gentianroute/gateway/stage_scheduler.h
@@ -10,7 +10,7 @@
 
 #include "gentianroute/gateway/cluster.h"
 #include "gentianroute/gateway/pool_key.h"
-#include "gentianroute/gateway/result_releases.h"
+#include "gentianroute/gateway/result_releaser.h"
 #include "gentianroute/gateway/translator.h"
 #include "gentianroute/loop/event_loop.h"
 #include "gentianroute/loop/relay_client.h"
@@ -29,7 +29,7 @@
                  RelayClient& client,
                  const Translator& translator,
                  routing::ServerDirectory& servers,
-                 ResultReleases& releases);
+                 ResultReleaser& releases);
   ~StageScheduler();
 
   void SetTable(routing::RouteTablePtr table);
@@ -74,7 +74,7 @@
   RelayFetches fetches_;
   const Translator& translator_;
   routing::ServerDirectory& servers_;
-  ResultReleases& releases_;
+  ResultReleaser& releases_;
   routing::RouteTablePtr table_;
   std::map<PoolKey, std::unique_ptr<Pool>> pools_;
   std::uint64_t calls_sent_ = 0;
--- a/packages/gateway/src/result_releases.cc
+++ b/packages/gateway/src/result_releaser.cc
@@ -1,4 +1,4 @@
-#include "gentianroute/gateway/result_releases.h"
+#include "gentianroute/gateway/result_releaser.h"
 
 #include <utility>
 
@@ -15,18 +15,18 @@
 
 }  // namespace
 
-ResultReleases::ResultReleases(EventLoop& loop,
+ResultReleaser::ResultReleaser(EventLoop& loop,
                                RelayClient& client,
                                const Translator& translator)
     : loop_(loop), fetches_(loop, client), translator_(translator) {
   timer_ = loop_.Every(kTick, [this] { Flush(); });
 }
 
-ResultReleases::~ResultReleases() {
+ResultReleaser::~ResultReleaser() {
   loop_.Cancel(timer_);
 }
 
-void ResultReleases::Release(std::vector<std::string> results) {
+void ResultReleaser::Release(std::vector<std::string> results) {
   for (std::string& result : results) {
     const auto holder = translator_.HolderOf(result);
     if (!holder) {
@@ -37,13 +37,13 @@
   }
 }
 
-void ResultReleases::Flush() {
+void ResultReleaser::Flush() {
   for (auto& [server, results] : std::exchange(waiting_, {})) {
     Send(server, std::move(results));
   }
 }
 
-void ResultReleases::Send(const Endpoint& server,
+void ResultReleaser::Send(const Endpoint& server,
                           std::vector<std::string> results) {
   if (results.size() > kMostInCall) {
     results.resize(kMostInCall);
--- a/packages/gateway/src/stage_scheduler.cc
+++ b/packages/gateway/src/stage_scheduler.cc
@@ -51,7 +51,7 @@
                                RelayClient& client,
                                const Translator& translator,
                                routing::ServerDirectory& servers,
-                               ResultReleases& releases)
+                               ResultReleaser& releases)
     : loop_(loop),
       fetches_(loop, client),
       translator_(translator),
