--- a/packages/gateway/include/gentianroute/gateway/detail/gateway_impl.h
+++ b/packages/gateway/include/gentianroute/gateway/detail/gateway_impl.h
@@ -11,7 +11,7 @@
 #include "gentianroute/gateway/detail/row_messages.h"
 #include "gentianroute/gateway/gateway.h"
 #include "gentianroute/gateway/request_flow.h"
-#include "gentianroute/gateway/request_journal.h"
+#include "gentianroute/gateway/request_recorder.h"
 #include "gentianroute/gateway/result_releaser.h"
 #include "gentianroute/gateway/retry_budgets.h"
 #include "gentianroute/gateway/stage_router.h"
@@ -335,7 +335,7 @@
   routing::RouteTablePtr table_;
   routing::ServerDirectory servers_;
   SuspectTable suspects_;
-  RequestJournal journal_;
+  RequestRecorder journal_;
   detail::RowWriter deployment_writer_;
   detail::RowWriter server_writer_;
   StoreFollower deployment_;
--- a/packages/gateway/include/gentianroute/gateway/request_flow.h
+++ b/packages/gateway/include/gentianroute/gateway/request_flow.h
@@ -15,7 +15,7 @@
 #include "gentianroute/base/id.h"
 #include "gentianroute/decision/suspect_table.h"
 #include "gentianroute/gateway/cluster.h"
-#include "gentianroute/gateway/request_journal.h"
+#include "gentianroute/gateway/request_recorder.h"
 #include "gentianroute/gateway/retry_budgets.h"
 #include "gentianroute/gateway/stage_router.h"
 #include "gentianroute/gateway/translator.h"
@@ -43,7 +43,7 @@
   routing::ServiceTimeEstimates& paces;
   routing::RequestWeights& weights;
   SuspectTable& suspects;
-  RequestJournal& journal;
+  RequestRecorder& journal;
   const routing::DrainTimes& drain;
 };
 
--- a/packages/gateway/include/gentianroute/gateway/request_journal.h
+++ b/packages/gateway/include/gentianroute/gateway/request_recorder.h
@@ -1,5 +1,5 @@
-#ifndef GENTIANROUTE_GATEWAY_REQUEST_JOURNAL_H_
-#define GENTIANROUTE_GATEWAY_REQUEST_JOURNAL_H_
+#ifndef GENTIANROUTE_GATEWAY_REQUEST_RECORDER_H_
+#define GENTIANROUTE_GATEWAY_REQUEST_RECORDER_H_
 
 #include <array>
 #include <cstdint>
@@ -61,7 +61,7 @@
 
 /// @brief Counts and logs what becomes of requests. Its labels are a closed
 /// set, so that callers can't make it grow.
-class RequestJournal {
+class RequestRecorder {
  public:
   void OnAdmitted(const RequestAdmitted& admitted);
   void OnSent(const RequestSent& sent);
@@ -84,4 +84,4 @@
 
 }  // namespace gentianroute::gateway
 
-#endif  // GENTIANROUTE_GATEWAY_REQUEST_JOURNAL_H_
+#endif  // GENTIANROUTE_GATEWAY_REQUEST_RECORDER_H_
--- a/packages/gateway/src/request_journal.cc
+++ b/packages/gateway/src/request_recorder.cc
@@ -1,4 +1,4 @@
-#include "gentianroute/gateway/request_journal.h"
+#include "gentianroute/gateway/request_recorder.h"
 
 #include <span>
 
@@ -17,7 +17,7 @@
 
 }  // namespace
 
-void RequestJournal::OnAdmitted(const RequestAdmitted& admitted) {
+void RequestRecorder::OnAdmitted(const RequestAdmitted& admitted) {
   LogEvent("request_admitted")
       .ForRequest(admitted.id, LogPriority::kLow)
       .Field("route", admitted.route)
@@ -29,7 +29,7 @@
       .Field("stages_expected_ms", WholeMilliseconds(admitted.stages_expected));
 }
 
-void RequestJournal::OnSent(const RequestSent& sent) {
+void RequestRecorder::OnSent(const RequestSent& sent) {
   LogEvent("request_sent")
       .ForRequest(sent.id, LogPriority::kLow)
       .Field("server", sent.server)
@@ -43,7 +43,7 @@
       .Field("left_ms", WholeMilliseconds(sent.time_left));
 }
 
-void RequestJournal::OnEnd(const RequestEnd& end) {
+void RequestRecorder::OnEnd(const RequestEnd& end) {
   ++outcomes_[std::string(end.outcome)];
   const auto kind = static_cast<std::size_t>(end.kind);
   total_[kind].Add(end.total);
@@ -70,10 +70,10 @@
   }
 }
 
-void RequestJournal::OnRepeat(std::string_view id,
-                              std::string_view what,
-                              std::string_view server,
-                              std::string_view reason) {
+void RequestRecorder::OnRepeat(std::string_view id,
+                               std::string_view what,
+                               std::string_view server,
+                               std::string_view reason) {
   ++repeats_[std::string(what)];
   LogEvent("request_repeat", LogLevel::kWarning)
       .ForRequest(id, LogPriority::kHigh)
@@ -82,7 +82,7 @@
       .Field("reason", reason);
 }
 
-void RequestJournal::Write(MetricWriter& writer) const {
+void RequestRecorder::Write(MetricWriter& writer) const {
   writer.AddMetric("gentianroute_gateway_requests_total", "counter",
                    "Requests by how they ended.");
   for (const auto& [outcome, count] : outcomes_) {
