--- a/packages/gateway/include/gentianroute/gateway/detail/gateway_impl.h
+++ b/packages/gateway/include/gentianroute/gateway/detail/gateway_impl.h
@@ -197,7 +197,7 @@
   }
 
   void AnswerReadiness(RelayExchange& exchange) {
-    if (!translator_.IsReadinessQuestion(exchange.head())) {
+    if (!translator_.IsReadinessCheck(exchange.head())) {
       exchange.Respond(detail::kNotFound, {}, "");
       return;
     }
--- a/packages/gateway/include/gentianroute/gateway/translator.h
+++ b/packages/gateway/include/gentianroute/gateway/translator.h
@@ -22,15 +22,15 @@
 struct CallerRequest {
   std::string id;  ///< of this try; a caller's next try has another
   std::string host;
-  std::optional<Duration> patience;  ///< how long the caller waits
-  std::optional<std::string> key;    ///< names the organisation
+  std::optional<Duration> timeout;  ///< how long the caller waits
+  std::optional<std::string> key;   ///< names the organisation
   /// Whether a key came in a way that names nobody: twice, or empty.
-  bool has_odd_key = false;
+  bool has_invalid_key = false;
   routing::Prompt prompt;
   std::vector<std::uint32_t> stage_pieces;
-  std::string stage_key;     ///< what stages without inputs work on
-  std::string resume_after;  ///< last event that the caller has, if any
-  HttpHeaders passed_on;     ///< fields that go to the server unchanged
+  std::string stage_key;         ///< what stages without inputs work on
+  std::string resume_after;      ///< last event that the caller has, if any
+  HttpHeaders forwarded_fields;  ///< fields that go to the server unchanged
 };
 
 /// @brief What this daemon adds to a request for a backend server.
@@ -45,13 +45,13 @@
 /// @brief What the head of a server's answer says.
 struct ServerAnswer {
   int status = 0;
-  bool not_run = false;   ///< the server has not run the request and won't
-  HttpHeaders passed_on;  ///< fields that go to the caller
+  bool not_run = false;  ///< the server has not run the request and won't
+  HttpHeaders forwarded_fields;  ///< fields that go to the caller
 };
 
 /// @brief What a call of stage pieces came back with.
 struct StageAnswer {
-  routing::CallStatus end = routing::CallStatus::kBroken;
+  routing::CallStatus status = routing::CallStatus::kBroken;
   std::vector<routing::PieceResult> results;
 };
 
@@ -107,7 +107,7 @@
       std::span<const std::string> results) const = 0;
 
   /// @brief Whether the balancer asks if this daemon takes requests.
-  virtual bool IsReadinessQuestion(const MessageHead& head) const = 0;
+  virtual bool IsReadinessCheck(const MessageHead& head) const = 0;
 };
 
 }  // namespace gentianroute::gateway
--- a/packages/gateway/src/request_flow.cc
+++ b/packages/gateway/src/request_flow.cc
@@ -98,7 +98,7 @@
   if (!table_->deployment().organisations || route_->is_public) {
     return std::nullopt;
   }
-  if (!request_.key || request_.has_odd_key) {
+  if (!request_.key || request_.has_invalid_key) {
     return ErrorKind::kUnauthorised;
   }
   organisation_ = table_->FindOrganisation(*request_.key);
@@ -109,8 +109,8 @@
 }
 
 void RequestFlow::Start() {
-  const Duration patience = request_.patience.value_or(route_->timeout);
-  limit_ = began_ + std::min(patience, route_->timeout);
+  const Duration caller_timeout = request_.timeout.value_or(route_->timeout);
+  limit_ = began_ + std::min(caller_timeout, route_->timeout);
   if (IsGeneration()) {
     weight_ = services_.weights.Of(route_->name, request_.prompt.tokens_in);
   }
--- a/packages/gateway/src/request_flow_sends.cc
+++ b/packages/gateway/src/request_flow_sends.cc
@@ -165,7 +165,7 @@
                        answer.status < kFirstFailure && !answer.not_run;
   if (streams && !answer_begun_) {
     answer_begun_ = true;
-    exchange_->Begin(answer.status, answer.passed_on);
+    exchange_->Begin(answer.status, answer.forwarded_fields);
   }
 }
 
@@ -280,7 +280,7 @@
     }
   }
   services_.suspects.OnAnswered(fingerprint_);
-  exchange_->Respond(answer_.status, answer_.passed_on, body_);
+  exchange_->Respond(answer_.status, answer_.forwarded_fields, body_);
   first_at_ = first_at_ == TimePoint{} ? now : first_at_;
   Finish(failed ? "server_failure" : "answered", answer_.status, "");
 }
--- a/packages/gateway/src/stage_scheduler.cc
+++ b/packages/gateway/src/stage_scheduler.cc
@@ -204,7 +204,7 @@
 void StageScheduler::OnCallEnd(Pool& pool,
                                routing::StageCallId call,
                                const StageAnswer& answer) {
-  pool.pool.OnCallEnd(loop_.Now(), call, answer.end, answer.results);
+  pool.pool.OnCallEnd(loop_.Now(), call, answer.status, answer.results);
   Settle(pool);
   WorkLater(pool);
 }
