--- a/packages/gateway/include/gentianroute/gateway/settings.h
+++ b/packages/gateway/include/gentianroute/gateway/settings.h
@@ -24,7 +24,7 @@
   Endpoint store;
   Duration drain_grace = std::chrono::seconds(8);  ///< from the stop signal
   /// Time within which a change in the store has to hold here.
-  Duration change_in_force = std::chrono::milliseconds(2500);
+  Duration max_change_delay = std::chrono::milliseconds(2500);
   double processor_share = 1;  ///< cores that this daemon may use
   double retry_ratio = 0.2;    ///< of a service's requests, of all daemons
   double retry_slack = 50;     ///< more, in each window of 10 s, of all daemons
