--- a/packages/gateway/include/gentianroute/gateway/detail/gateway_impl.h
+++ b/packages/gateway/include/gentianroute/gateway/detail/gateway_impl.h
@@ -31,13 +31,14 @@
 
 /// The balancer asks once a second and takes a daemon out after two misses;
 /// until then it still sends new connections.
-inline constexpr Duration kBalancerNotices = std::chrono::milliseconds(2600);
+inline constexpr Duration kBalancerDetectionTime =
+    std::chrono::milliseconds(2600);
 /// Kept from the grace before the process is killed.
-inline constexpr Duration kGraceMargin = std::chrono::milliseconds(400);
+inline constexpr Duration kDrainMargin = std::chrono::milliseconds(400);
 /// For the last answers to leave the host.
-inline constexpr Duration kLastWords = std::chrono::milliseconds(50);
-inline constexpr Duration kDrainLook = std::chrono::milliseconds(50);
-inline constexpr Duration kHousekeeping = std::chrono::milliseconds(250);
+inline constexpr Duration kResponseFlushTime = std::chrono::milliseconds(50);
+inline constexpr Duration kDrainCheckPeriod = std::chrono::milliseconds(50);
+inline constexpr Duration kMaintenancePeriod = std::chrono::milliseconds(250);
 
 }  // namespace detail
 
@@ -64,28 +65,30 @@
                      settings_.max_change_delay,
                      ServersListener()),
         cluster_(loop, settings_, store, *this),
-        releases_(loop, client, translator),
-        desk_(loop, client, translator, servers_, releases_),
-        stages_(loop, cluster_, desk_, servers_, topology_),
-        retries_(settings_.retry_ratio, settings_.retry_slack),
-        starting_(loop.Now()),
-        services_{loop,      client,   translator, servers_, topology_,
-                  stages_,   cluster_, retries_,   paces_,   weights_,
-                  suspects_, journal_, drain_} {
+        releaser_(loop, client, translator),
+        stage_scheduler_(loop, client, translator, servers_, releaser_),
+        stage_router_(loop, cluster_, stage_scheduler_, servers_, topology_),
+        retry_budgets_(settings_.retry_ratio, settings_.retry_slack),
+        start_queue_(loop.Now()),
+        services_{loop,           client,        translator, servers_,
+                  topology_,      stage_router_, cluster_,   retry_budgets_,
+                  service_times_, weights_,      suspects_,  recorder_,
+                  drain_} {
     servers_.SetOnClosed(
         [this](routing::Server& server) { OnServerClosed(server); });
     Listen();
     deployment_.Start();
     server_rows_.Start();
     cluster_.Start();
-    loop_.After(StartQueue::kLongest, [this] { EndStart(); });
-    housekeeping_ = loop_.Every(detail::kHousekeeping, [this] { KeepHouse(); });
+    loop_.After(StartQueue::kMaxWait, [this] { ServeStartQueue(); });
+    maintenance_timer_ =
+        loop_.Every(detail::kMaintenancePeriod, [this] { RunMaintenance(); });
     LogEvent("started")
         .Field("daemon", settings_.name)
         .Field("data_centre", settings_.data_centre)
         .Field("callers", settings_.callers.ToString());
   }
-  ~Impl() override { loop_.Cancel(housekeeping_); }
+  ~Impl() override { loop_.Cancel(maintenance_timer_); }
 
   void Drain(std::function<void()> done) {
     if (std::exchange(draining_, true)) {
@@ -95,13 +98,13 @@
         .Field("connections", callers_->connections())
         .Field("active", callers_->active_requests());
     const TimePoint now = loop_.Now();
-    drain_ = {now + detail::kBalancerNotices,
-              now + settings_.drain_grace - detail::kGraceMargin};
+    drain_ = {now + detail::kBalancerDetectionTime,
+              now + settings_.drain_grace - detail::kDrainMargin};
     cluster_.AnnounceLeaving();
     callers_->AnnounceClose();
-    loop_.After(detail::kBalancerNotices,
+    loop_.After(detail::kBalancerDetectionTime,
                 [this] { callers_->StopAccepting(); });
-    WaitForEnd(drain_.last_expected_request + detail::kDrainLook,
+    WaitForEnd(drain_.last_expected_request + detail::kDrainCheckPeriod,
                drain_.ends_at, std::move(done));
   }
 
@@ -113,12 +116,13 @@
                                         std::string_view data_centre,
                                         routing::StageGroup group,
                                         GroupDone done) override {
-    return desk_.Run(service, data_centre, std::move(group), std::move(done));
+    return stage_scheduler_.Run(service, data_centre, std::move(group),
+                                std::move(done));
   }
   void OnReleased(std::string_view service,
                   std::string_view data_centre,
                   std::vector<std::string> results) override {
-    desk_.Release(service, data_centre, std::move(results));
+    stage_scheduler_.Release(service, data_centre, std::move(results));
   }
   void FillStoreCopy(std::uint64_t deployment_version,
                      std::uint64_t servers_version,
@@ -156,10 +160,10 @@
   void Listen() {
     RelayServer::Options callers{settings_.callers.address,
                                  settings_.callers.port,
-                                 [this] { return LimitsInForce(); }};
+                                 [this] { return CurrentLimits(); }};
     callers_ = std::make_unique<RelayServer>(
         loop_, std::move(callers), [this](RelayExchangePtr exchange) {
-          if (knows_all() || !starting_.Keep(loop_.Now(), exchange)) {
+          if (is_configured() || !start_queue_.TryPush(loop_.Now(), exchange)) {
             RequestFlow::Begin(services_, std::move(exchange), table_, flows_);
           }
         });
@@ -178,20 +182,22 @@
         [this](const RelayExchangePtr& exchange) { AnswerMetrics(*exchange); });
   }
 
-  CallerLimits LimitsInForce() const {
+  CallerLimits CurrentLimits() const {
     return table_ == nullptr ? CallerLimits{} : table_->deployment().limits;
   }
 
   /// Whether requests can be routed.
-  bool knows_all() const { return table_ != nullptr && server_rows_.known(); }
-  bool ready() const { return knows_all() && !draining_; }
+  bool is_configured() const {
+    return table_ != nullptr && server_rows_.known();
+  }
+  bool ready() const { return is_configured() && !draining_; }
 
   /// Begins what has waited for the daemon to know its deployment.
-  void EndStart() {
-    if (!knows_all() && !starting_.IsOver(loop_.Now())) {
+  void ServeStartQueue() {
+    if (!is_configured() && !start_queue_.IsTimedOut(loop_.Now())) {
       return;
     }
-    while (RelayExchangePtr exchange = starting_.Take()) {
+    while (RelayExchangePtr exchange = start_queue_.Pop()) {
       RequestFlow::Begin(services_, std::move(exchange), table_, flows_);
     }
   }
@@ -206,7 +212,7 @@
 
   void AnswerMetrics(RelayExchange& exchange);
   /// Takes out what a peer has told of its load on the servers.
-  void ForgetLoads(std::string_view peer);
+  void RemovePeerLoads(std::string_view peer);
 
   void OnDeploymentRow(const StoredRow& row) {
     std::string error;
@@ -222,17 +228,17 @@
     }
     table_ = std::make_shared<routing::RouteTable>(std::move(*deployment));
     cluster_.SetStageServices(table_->StageServices());
-    desk_.SetTable(table_);
-    stages_.SetTable(table_);
+    stage_scheduler_.SetTable(table_);
+    stage_router_.SetTable(table_);
     LogEvent("deployment_in_force")
         .Field("version", table_->version())
         .Field("routes", table_->deployment().routes.size());
-    EndStartLater();
+    ServeStartQueueLater();
   }
 
   /// Once what is being read now has been taken in.
-  void EndStartLater() {
-    loop_.After(Duration{0}, [this] { EndStart(); });
+  void ServeStartQueueLater() {
+    loop_.After(Duration{0}, [this] { ServeStartQueue(); });
   }
 
   std::optional<routing::ServerRecord> ReadServer(const StoredRow& row) {
@@ -261,7 +267,7 @@
           static_cast<std::uint64_t>(record.started_at_unix_ms));
     }
     servers_.Replace(now, std::move(records));
-    EndStartLater();
+    ServeStartQueueLater();
   }
 
   void OnServerRow(const StoredRow& row) {
@@ -289,22 +295,22 @@
     }
   }
 
-  void KeepHouse() {
+  void RunMaintenance() {
     const TimePoint now = loop_.Now();
     servers_.Expire(now);
     suspects_.Sweep(now);
-    FollowIfReader();
-    CatchUp();
+    UpdateFollowing();
+    FetchNewerRows();
   }
 
-  void FollowIfReader() {
+  void UpdateFollowing() {
     const bool reader = cluster_.IsStoreReader();
     deployment_.SetFollowing(reader);
     server_rows_.SetFollowing(reader);
   }
 
   /// Takes from a peer what it knows and this daemon does not.
-  void CatchUp() {
+  void FetchNewerRows() {
     cluster_.FetchStoreCopy(deployment_.newest_change(),
                             server_rows_.newest_change());
   }
@@ -319,10 +325,10 @@
       while (!flows_.empty()) {
         flows_.front().OnShutdown();
       }
-      loop_.After(detail::kLastWords, done);
+      loop_.After(detail::kResponseFlushTime, done);
       return;
     }
-    loop_.After(detail::kDrainLook,
+    loop_.After(detail::kDrainCheckPeriod,
                 [this, earliest, latest, done = std::move(done)] {
                   WaitForEnd(earliest, latest, done);
                 });
@@ -335,19 +341,19 @@
   routing::RouteTablePtr table_;
   routing::ServerDirectory servers_;
   SuspectTable suspects_;
-  RequestRecorder journal_;
+  RequestRecorder recorder_;
   detail::RowWriter deployment_writer_;
   detail::RowWriter server_writer_;
   StoreFollower deployment_;
   StoreFollower server_rows_;
   Cluster cluster_;
-  ResultReleaser releases_;
-  StageScheduler desk_;
-  StageRouter stages_;
-  RetryBudgets retries_;
-  routing::ServiceTimeEstimates paces_;
+  ResultReleaser releaser_;
+  StageScheduler stage_scheduler_;
+  StageRouter stage_router_;
+  RetryBudgets retry_budgets_;
+  routing::ServiceTimeEstimates service_times_;
   routing::RequestWeights weights_;
-  StartQueue starting_;
+  StartQueue start_queue_;
   routing::DrainTimes drain_;
   FlowServices services_;
   RequestFlow::List flows_;
@@ -362,7 +368,7 @@
   /// What peers last told of their calls to the store.
   std::map<std::string, StoreContact, std::less<>> store_contacts_;
   bool draining_ = false;
-  TimerId housekeeping_;
+  TimerId maintenance_timer_;
 };
 
 }  // namespace gentianroute::gateway
--- a/packages/gateway/include/gentianroute/gateway/start_queue.h
+++ b/packages/gateway/include/gentianroute/gateway/start_queue.h
@@ -21,9 +21,9 @@
  public:
   /// Bound on the wait. What takes longer is an outage, and nobody waits for
   /// that.
-  static constexpr Duration kLongest = std::chrono::milliseconds(800);
+  static constexpr Duration kMaxWait = std::chrono::milliseconds(800);
   /// Bound on what waits, for the memory that it takes.
-  static constexpr std::size_t kMost = 400;
+  static constexpr std::size_t kMaxRequests = 400;
 
   explicit StartQueue(TimePoint started) : started_(started) {}
   ~StartQueue();
@@ -32,21 +32,21 @@
 
   /// @brief Keeps a request until the daemon is ready.
   /// @return false if it is to be answered now
-  bool Keep(TimePoint now, const RelayExchangePtr& exchange);
+  bool TryPush(TimePoint now, const RelayExchangePtr& exchange);
   /// @brief Whether what waits is to be taken out, ready or not.
-  bool IsOver(TimePoint now) const { return now >= started_ + kLongest; }
+  bool IsTimedOut(TimePoint now) const { return now >= started_ + kMaxWait; }
   /// @brief The request that has waited longest; null if none waits.
-  RelayExchangePtr Take();
+  RelayExchangePtr Pop();
 
  private:
-  struct Waiting : boost::intrusive::list_base_hook<> {
+  struct Entry : boost::intrusive::list_base_hook<> {
     RelayExchangePtr exchange;
   };
 
-  void Drop(Waiting& waiting);
+  void Remove(Entry& entry);
 
   TimePoint started_;
-  boost::intrusive::list<Waiting> waiting_;
+  boost::intrusive::list<Entry> entries_;
 };
 
 }  // namespace gentianroute::gateway
--- a/packages/gateway/src/gateway.cc
+++ b/packages/gateway/src/gateway.cc
@@ -9,7 +9,7 @@
 
 void Gateway::Impl::AnswerMetrics(RelayExchange& exchange) {
   MetricWriter writer;
-  journal_.Write(writer);
+  recorder_.Write(writer);
   const auto gauge = [&writer](std::string_view name, std::string_view help,
                                double value) {
     writer.AddMetric(name, "gauge", help);
@@ -31,9 +31,9 @@
   gauge("gentianroute_gateway_active_requests", "Requests under way.",
         static_cast<double>(callers_->active_requests()));
   gauge("gentianroute_gateway_stage_calls", "Stage calls sent.",
-        static_cast<double>(desk_.calls_sent()));
+        static_cast<double>(stage_scheduler_.calls_sent()));
   gauge("gentianroute_gateway_stage_pieces", "Stage pieces sent.",
-        static_cast<double>(desk_.pieces_sent()));
+        static_cast<double>(stage_scheduler_.pieces_sent()));
   exchange.Respond(detail::kOk, {{"Content-Type", "text/plain; version=0.0.4"}},
                    writer.text());
 }
--- a/packages/gateway/src/gateway_peers.cc
+++ b/packages/gateway/src/gateway_peers.cc
@@ -43,12 +43,12 @@
   };
   std::vector<PoolBacklog> backlogs;
   const TimePoint now = loop_.Now();
-  desk_.ForEachPool(now,
-                    [&](std::string_view service, std::string_view data_centre,
-                        routing::Backlog backlog) {
-                      backlogs.push_back({service, data_centre, backlog});
-                      stages_.OnBacklog(now, service, data_centre, backlog);
-                    });
+  stage_scheduler_.ForEachPool(
+      now, [&](std::string_view service, std::string_view data_centre,
+               routing::Backlog backlog) {
+        backlogs.push_back({service, data_centre, backlog});
+        stage_router_.OnBacklog(now, service, data_centre, backlog);
+      });
   auto out = beat.initBacklogs(static_cast<unsigned>(backlogs.size()));
   for (unsigned i = 0; i < backlogs.size(); ++i) {
     out[i].setService(std::string(backlogs[i].service));
@@ -69,7 +69,7 @@
 void Gateway::Impl::OnBeat(schema::Beat::Reader beat) {
   const TimePoint now = loop_.Now();
   const std::string name = beat.getDaemon();
-  ForgetLoads(name);
+  RemovePeerLoads(name);
   auto& loads = peer_loads_[name];
   for (const auto work : beat.getWork()) {
     const routing::ServerLoad load{work.getCalls(), work.getTokens(),
@@ -83,9 +83,9 @@
   for (const auto backlog : beat.getBacklogs()) {
     const std::string service = backlog.getService();
     const std::string data_centre = backlog.getDataCentre();
-    stages_.OnBacklog(now, service, data_centre,
-                      {FromMilliseconds(backlog.getInTimeMs()),
-                       FromMilliseconds(backlog.getAllMs())});
+    stage_router_.OnBacklog(now, service, data_centre,
+                            {FromMilliseconds(backlog.getInTimeMs()),
+                             FromMilliseconds(backlog.getAllMs())});
   }
   for (const auto entry : beat.getQuarantined()) {
     suspects_.OnPeerQuarantine(
@@ -98,17 +98,17 @@
     servers_.OnStoreRecovered(now);
   }
   if (before != contact) {
-    FollowIfReader();
+    UpdateFollowing();
   }
-  CatchUp();
+  FetchNewerRows();
 }
 
 void Gateway::Impl::OnPeerGone(std::string_view peer) {
-  ForgetLoads(peer);
-  stages_.OnPeerGone(peer);
+  RemovePeerLoads(peer);
+  stage_router_.OnPeerGone(peer);
 }
 
-void Gateway::Impl::ForgetLoads(std::string_view peer) {
+void Gateway::Impl::RemovePeerLoads(std::string_view peer) {
   const auto found = peer_loads_.find(peer);
   if (found == peer_loads_.end()) {
     return;
--- a/packages/gateway/src/start_queue.cc
+++ b/packages/gateway/src/start_queue.cc
@@ -5,35 +5,35 @@
 namespace gentianroute::gateway {
 
 StartQueue::~StartQueue() {
-  while (Take() != nullptr) {
+  while (Pop() != nullptr) {
   }
 }
 
-bool StartQueue::Keep(TimePoint now, const RelayExchangePtr& exchange) {
-  if (IsOver(now) || waiting_.size() >= kMost) {
+bool StartQueue::TryPush(TimePoint now, const RelayExchangePtr& exchange) {
+  if (IsTimedOut(now) || entries_.size() >= kMaxRequests) {
     return false;
   }
-  auto* waiting = new Waiting;
-  waiting->exchange = exchange;
-  waiting_.push_back(*waiting);
-  exchange->SetOnDisconnect([this, waiting] { Drop(*waiting); });
+  auto* entry = new Entry;
+  entry->exchange = exchange;
+  entries_.push_back(*entry);
+  exchange->SetOnDisconnect([this, entry] { Remove(*entry); });
   return true;
 }
 
-RelayExchangePtr StartQueue::Take() {
-  if (waiting_.empty()) {
+RelayExchangePtr StartQueue::Pop() {
+  if (entries_.empty()) {
     return nullptr;
   }
-  Waiting& first = waiting_.front();
+  Entry& first = entries_.front();
   RelayExchangePtr exchange = first.exchange;
   exchange->SetOnDisconnect(nullptr);
-  Drop(first);
+  Remove(first);
   return exchange;
 }
 
-void StartQueue::Drop(Waiting& waiting) {
-  waiting_.erase_and_dispose(waiting_.iterator_to(waiting),
-                             std::default_delete<Waiting>());
+void StartQueue::Remove(Entry& entry) {
+  entries_.erase_and_dispose(entries_.iterator_to(entry),
+                             std::default_delete<Entry>());
 }
 
 }  // namespace gentianroute::gateway
--- a/packages/gateway/tests/start_queue_test.cc
+++ b/packages/gateway/tests/start_queue_test.cc
@@ -9,8 +9,8 @@
 
 namespace {
 
-constexpr TimePoint kStarted = TimePoint{} + std::chrono::seconds(5);
-constexpr Duration kMs = std::chrono::milliseconds(1);
+constexpr TimePoint kStartTime = TimePoint{} + std::chrono::seconds(5);
+constexpr Duration kMillisecond = std::chrono::milliseconds(1);
 
 /// A caller's request that nobody answers here.
 class FakeExchange final : public RelayExchange {
@@ -21,7 +21,7 @@
   void End() override {}
   void Abort() override {}
 
-  void CallerLeaves() {
+  void Disconnect() {
     if (on_disconnect_) {
       on_disconnect_();
     }
@@ -40,50 +40,50 @@
 // spent one of its few tries. In the order in which they came, they are served
 // once it is known.
 Test(start_queue, requests_of_the_first_moments_come_out_in_order) {
-  StartQueue queue(kStarted);
+  StartQueue queue(kStartTime);
   const FakePtr first = NewRequest();
   const FakePtr second = NewRequest();
-  cr_assert(queue.Keep(kStarted + 3 * kMs, first));
-  cr_assert(queue.Keep(kStarted + 90 * kMs, second));
-  cr_assert(queue.Take() == first);
-  cr_assert(queue.Take() == second);
-  cr_assert(queue.Take() == nullptr);
+  cr_assert(queue.TryPush(kStartTime + 3 * kMillisecond, first));
+  cr_assert(queue.TryPush(kStartTime + 90 * kMillisecond, second));
+  cr_assert(queue.Pop() == first);
+  cr_assert(queue.Pop() == second);
+  cr_assert(queue.Pop() == nullptr);
 }
 
 // The store is away as the daemon starts: callers learn at once that they have
 // to come back, and don't wait for an outage to end.
 Test(start_queue, request_after_the_first_moments_is_not_kept) {
-  StartQueue queue(kStarted);
-  const TimePoint later = kStarted + StartQueue::kLongest;
-  cr_assert(queue.IsOver(later));
-  cr_assert_not(queue.Keep(later, NewRequest()));
+  StartQueue queue(kStartTime);
+  const TimePoint later = kStartTime + StartQueue::kMaxWait;
+  cr_assert(queue.IsTimedOut(later));
+  cr_assert_not(queue.TryPush(later, NewRequest()));
 }
 
 Test(start_queue, caller_that_leaves_is_forgotten) {
-  StartQueue queue(kStarted);
+  StartQueue queue(kStartTime);
   const FakePtr gone = NewRequest();
   const FakePtr stays = NewRequest();
-  queue.Keep(kStarted, gone);
-  queue.Keep(kStarted, stays);
-  gone->CallerLeaves();
-  cr_assert(queue.Take() == stays);
-  cr_assert(queue.Take() == nullptr);
+  queue.TryPush(kStartTime, gone);
+  queue.TryPush(kStartTime, stays);
+  gone->Disconnect();
+  cr_assert(queue.Pop() == stays);
+  cr_assert(queue.Pop() == nullptr);
 }
 
 Test(start_queue, no_more_than_its_bound_waits) {
-  StartQueue queue(kStarted);
-  for (std::size_t i = 0; i < StartQueue::kMost; ++i) {
-    cr_assert(queue.Keep(kStarted, NewRequest()));
+  StartQueue queue(kStartTime);
+  for (std::size_t i = 0; i < StartQueue::kMaxRequests; ++i) {
+    cr_assert(queue.TryPush(kStartTime, NewRequest()));
   }
-  cr_assert_not(queue.Keep(kStarted, NewRequest()));
+  cr_assert_not(queue.TryPush(kStartTime, NewRequest()));
 }
 
 Test(start_queue, end_of_the_daemon_lets_go_of_what_waits) {
   const FakePtr waiting = NewRequest();
   {
-    StartQueue queue(kStarted);
-    queue.Keep(kStarted, waiting);
+    StartQueue queue(kStartTime);
+    queue.TryPush(kStartTime, waiting);
   }
   cr_assert_eq(waiting->use_count(), 1);
-  waiting->CallerLeaves();
+  waiting->Disconnect();
 }
