--- a/packages/gateway/include/gentianroute/gateway/stage_scheduler.h
+++ b/packages/gateway/include/gentianroute/gateway/stage_scheduler.h
@@ -29,7 +29,7 @@
                  RelayClient& client,
                  const Translator& translator,
                  routing::ServerDirectory& servers,
-                 ResultReleaser& releases);
+                 ResultReleaser& releaser);
   ~StageScheduler();
 
   void SetTable(routing::RouteTablePtr table);
@@ -53,28 +53,28 @@
   std::uint64_t pieces_sent() const { return pieces_sent_; }
 
  private:
-  class Hold;
+  class Handle;
   struct Pool;
 
   Pool* PoolFor(std::string_view service, std::string_view data_centre);
-  void Work(Pool& pool);
-  void WorkLater(Pool& pool);
+  void Dispatch(Pool& pool);
+  void DispatchLater(Pool& pool);
   void Send(Pool& pool, const routing::StageCall& call);
-  static void TellCall(const Pool& pool,
-                       const routing::StageCall& call,
-                       std::span<const StagePieceRequest> pieces);
-  StageAnswer ReadEnd(const Pool& pool, const RelayFetchResult& end) const;
+  static void LogCall(const Pool& pool,
+                      const routing::StageCall& call,
+                      std::span<const StagePieceRequest> pieces);
+  StageAnswer ReadAnswer(const Pool& pool, const RelayFetchResult& end) const;
   void OnCallEnd(Pool& pool,
                  routing::StageCallId call,
                  const StageAnswer& answer);
-  void Settle(Pool& pool);
+  void DeliverFinished(Pool& pool);
   std::vector<routing::ServerPtr> ServersOf(const Pool& pool) const;
 
   EventLoop& loop_;
   RelayFetches fetches_;
   const Translator& translator_;
   routing::ServerDirectory& servers_;
-  ResultReleaser& releases_;
+  ResultReleaser& releaser_;
   routing::RouteTablePtr table_;
   std::map<PoolKey, std::unique_ptr<Pool>> pools_;
   std::uint64_t calls_sent_ = 0;
--- a/packages/gateway/src/stage_scheduler.cc
+++ b/packages/gateway/src/stage_scheduler.cc
@@ -10,34 +10,35 @@
 
 /// A pool counts as scheduled here for this long after its last work; peers
 /// then go by its backlog.
-constexpr Duration kScheduledFor = std::chrono::seconds(2);
+constexpr Duration kPoolIdleTimeout = std::chrono::seconds(2);
 /// Below this a stage server's call can't end; it is not worth sending.
-constexpr Duration kLeastTimeLeft = std::chrono::milliseconds(1);
+constexpr Duration kMinTimeLeft = std::chrono::milliseconds(1);
 
 }  // namespace
 
 struct StageScheduler::Pool {
   Pool(std::string service_name,
-       std::string place,
+       std::string data_centre_name,
        routing::StageCapacity capacity)
       : service(std::move(service_name)),
-        data_centre(std::move(place)),
+        data_centre(std::move(data_centre_name)),
         pool(capacity) {}
 
   std::string service;
   std::string data_centre;
   routing::StagePool pool;
-  std::map<routing::StageGroupId, GroupDone> waiting;
-  TimePoint used{};
+  std::map<routing::StageGroupId, GroupDone> callbacks;
+  TimePoint last_used_at{};
   TimerId timer;
-  bool work_due = false;
+  bool dispatch_scheduled = false;
 };
 
-class StageScheduler::Hold final : public GroupHandle {
+class StageScheduler::Handle final : public GroupHandle {
  public:
-  Hold(Pool& pool, routing::StageGroupId group) : pool_(pool), group_(group) {}
-  ~Hold() override {
-    if (pool_.waiting.erase(group_) > 0) {
+  Handle(Pool& pool, routing::StageGroupId group)
+      : pool_(pool), group_(group) {}
+  ~Handle() override {
+    if (pool_.callbacks.erase(group_) > 0) {
       pool_.pool.Cancel(group_);
     }
   }
@@ -51,12 +52,12 @@
                                RelayClient& client,
                                const Translator& translator,
                                routing::ServerDirectory& servers,
-                               ResultReleaser& releases)
+                               ResultReleaser& releaser)
     : loop_(loop),
       fetches_(loop, client),
       translator_(translator),
       servers_(servers),
-      releases_(releases) {}
+      releaser_(releaser) {}
 
 StageScheduler::~StageScheduler() {
   for (const auto& [key, pool] : pools_) {
@@ -103,12 +104,12 @@
     return std::make_unique<GroupHandle>();
   }
   const TimePoint now = loop_.Now();
-  pool->used = now;
+  pool->last_used_at = now;
   const routing::StageGroupId id = pool->pool.Submit(now, std::move(group));
-  pool->waiting.emplace(id, std::move(done));
+  pool->callbacks.emplace(id, std::move(done));
   // Groups that come together, as those of one message, share the next call.
-  WorkLater(*pool);
-  return std::make_unique<Hold>(*pool, id);
+  DispatchLater(*pool);
+  return std::make_unique<Handle>(*pool, id);
 }
 
 std::vector<routing::ServerPtr> StageScheduler::ServersOf(
@@ -122,16 +123,16 @@
   return servers;
 }
 
-void StageScheduler::Work(Pool& pool) {
+void StageScheduler::Dispatch(Pool& pool) {
   const auto calls = pool.pool.Dispatch(loop_.Now(), ServersOf(pool));
   for (const routing::StageCall& call : calls) {
     Send(pool, call);
   }
-  Settle(pool);
+  DeliverFinished(pool);
   loop_.Cancel(pool.timer);
   if (pool.pool.waiting_pieces() > 0) {
     pool.timer = loop_.After(pool.pool.NextDispatchDelay(),
-                             [this, &pool] { Work(pool); });
+                             [this, &pool] { Dispatch(pool); });
   }
 }
 
@@ -142,30 +143,31 @@
   for (const routing::StagePiece& piece : call.pieces) {
     const routing::StageGroup* group = pool.pool.Find(piece.group);
     pieces.push_back({group->request, group->stage, piece.segment,
-                      std::max(kLeastTimeLeft, group->deadline - now),
-                      group->key, group->inputs});
+                      std::max(kMinTimeLeft, group->deadline - now), group->key,
+                      group->inputs});
   }
   const routing::ServerRecord& server = call.server->record();
-  RelayCall out;
-  out.endpoint = {server.address, server.port};
+  RelayCall relay_call;
+  relay_call.endpoint = {server.address, server.port};
   // A server may send a second answer to a call, late. On a kept connection it
   // would arrive as the answer to the next call, whose pieces then got another
   // request's results; a stage answer bears no id that would tell.
-  out.max_idle = Duration{0};
-  out.keep_connection = false;
-  out.message = translator_.StageCallMessage(out.endpoint, server.id, pieces);
+  relay_call.max_idle = Duration{0};
+  relay_call.keep_connection = false;
+  relay_call.message =
+      translator_.StageCallMessage(relay_call.endpoint, server.id, pieces);
   ++calls_sent_;
   pieces_sent_ += pieces.size();
-  TellCall(pool, call, pieces);
-  fetches_.Start(std::move(out), call.timeout,
+  LogCall(pool, call, pieces);
+  fetches_.Start(std::move(relay_call), call.timeout,
                  [this, &pool, id = call.id](const RelayFetchResult& end) {
-                   OnCallEnd(pool, id, ReadEnd(pool, end));
+                   OnCallEnd(pool, id, ReadAnswer(pool, end));
                  });
 }
 
-void StageScheduler::TellCall(const Pool& pool,
-                              const routing::StageCall& call,
-                              std::span<const StagePieceRequest> pieces) {
+void StageScheduler::LogCall(const Pool& pool,
+                             const routing::StageCall& call,
+                             std::span<const StagePieceRequest> pieces) {
   // One request's pieces follow each other.
   std::string requests;
   std::string_view last;
@@ -187,8 +189,8 @@
       .Field("expected_ms", WholeMilliseconds(call.expected));
 }
 
-StageAnswer StageScheduler::ReadEnd(const Pool& pool,
-                                    const RelayFetchResult& end) const {
+StageAnswer StageScheduler::ReadAnswer(const Pool& pool,
+                                       const RelayFetchResult& end) const {
   if (end.complete) {
     return translator_.ReadStageAnswer(end.head, end.body);
   }
@@ -205,33 +207,33 @@
                                routing::StageCallId call,
                                const StageAnswer& answer) {
   pool.pool.OnCallEnd(loop_.Now(), call, answer.status, answer.results);
-  Settle(pool);
-  WorkLater(pool);
+  DeliverFinished(pool);
+  DispatchLater(pool);
 }
 
-void StageScheduler::WorkLater(Pool& pool) {
-  if (std::exchange(pool.work_due, true)) {
+void StageScheduler::DispatchLater(Pool& pool) {
+  if (std::exchange(pool.dispatch_scheduled, true)) {
     return;
   }
   loop_.After(Duration{0}, [this, &pool] {
-    pool.work_due = false;
-    Work(pool);
+    pool.dispatch_scheduled = false;
+    Dispatch(pool);
   });
 }
 
-void StageScheduler::Settle(Pool& pool) {
+void StageScheduler::DeliverFinished(Pool& pool) {
   for (routing::StageGroupResult& end : pool.pool.TakeFinished()) {
-    const auto found = pool.waiting.find(end.group);
-    if (found == pool.waiting.end()) {
+    const auto found = pool.callbacks.find(end.group);
+    if (found == pool.callbacks.end()) {
       continue;
     }
     const GroupDone done = std::move(found->second);
-    pool.waiting.erase(found);
+    pool.callbacks.erase(found);
     done({end.failure, std::move(end.results)});
   }
   std::vector<std::string> orphans = pool.pool.TakeOrphans();
   pool.pool.OnReleased(orphans);
-  releases_.Release(std::move(orphans));
+  releaser_.Release(std::move(orphans));
 }
 
 void StageScheduler::Release(std::string_view service,
@@ -241,10 +243,10 @@
   if (pool != nullptr) {
     pool->pool.OnReleased(results);
     if (pool->pool.waiting_pieces() > 0) {
-      WorkLater(*pool);
+      DispatchLater(*pool);
     }
   }
-  releases_.Release(std::move(results));
+  releaser_.Release(std::move(results));
 }
 
 void StageScheduler::ForEachPool(
@@ -253,7 +255,7 @@
         void(std::string_view, std::string_view, routing::Backlog)>& visit)
     const {
   for (const auto& [key, pool] : pools_) {
-    if (now - pool->used < kScheduledFor) {
+    if (now - pool->last_used_at < kPoolIdleTimeout) {
       visit(pool->service, pool->data_centre, pool->pool.BacklogAt(now));
     }
   }
