--- a/packages/gateway/include/gentianroute/gateway/detail/request_send.h
+++ b/packages/gateway/include/gentianroute/gateway/detail/request_attempt.h
@@ -1,5 +1,5 @@
-#ifndef GENTIANROUTE_GATEWAY_DETAIL_REQUEST_SEND_H_
-#define GENTIANROUTE_GATEWAY_DETAIL_REQUEST_SEND_H_
+#ifndef GENTIANROUTE_GATEWAY_DETAIL_REQUEST_ATTEMPT_H_
+#define GENTIANROUTE_GATEWAY_DETAIL_REQUEST_ATTEMPT_H_
 
 #include <string_view>
 #include <utility>
@@ -9,15 +9,15 @@
 namespace gentianroute::gateway {
 
 /// One try at one server.
-class RequestFlow::Send final : public RelayCallObserver {
+class RequestFlow::Attempt final : public RelayCallObserver {
  public:
-  Send(RequestFlow& flow, RelayCall call) : flow_(&flow) {
+  Attempt(RequestFlow& flow, RelayCall call) : flow_(&flow) {
     id_ = flow.services_.client.Call(std::move(call), *this);
   }
-  ~Send() override { Drop(); }
+  ~Attempt() override { Cancel(); }
 
   /// Closes the connection; nothing more is heard.
-  void Drop() {
+  void Cancel() {
     if (RequestFlow* flow = std::exchange(flow_, nullptr)) {
       flow->services_.client.Cancel(id_);
     }
@@ -37,7 +37,7 @@
   }
   void OnFailure(RelayFailure failure) override {
     const Ptr flow(std::exchange(flow_, nullptr));
-    flow->OnBroken(failure);
+    flow->OnAttemptFailure(failure);
   }
 
  private:
@@ -47,4 +47,4 @@
 
 }  // namespace gentianroute::gateway
 
-#endif  // GENTIANROUTE_GATEWAY_DETAIL_REQUEST_SEND_H_
+#endif  // GENTIANROUTE_GATEWAY_DETAIL_REQUEST_ATTEMPT_H_
--- a/packages/gateway/include/gentianroute/gateway/detail/request_limits.h
+++ b/packages/gateway/include/gentianroute/gateway/detail/request_limits.h
@@ -11,11 +11,11 @@
 
 /// What the server of a request takes beyond the stages, when nothing is known
 /// of it: one way to another region and back, and the first tokens.
-inline constexpr Duration kUsualAnswer = std::chrono::milliseconds(150);
+inline constexpr Duration kTypicalAnswerTime = std::chrono::milliseconds(150);
 /// No server answers sooner.
-inline constexpr Duration kLeastAnswer = std::chrono::milliseconds(20);
+inline constexpr Duration kMinAnswerTime = std::chrono::milliseconds(20);
 /// Results that are lost again and again are not made for ever.
-inline constexpr std::uint32_t kMostRemakes = 2;
+inline constexpr std::uint32_t kMaxRecomputations = 2;
 
 }  // namespace gentianroute::gateway::detail
 
--- a/packages/gateway/include/gentianroute/gateway/request_flow.h
+++ b/packages/gateway/include/gentianroute/gateway/request_flow.h
@@ -37,14 +37,14 @@
   const Translator& translator;
   routing::ServerDirectory& servers;
   const routing::Topology& topology;
-  StageRouter& stages;
+  StageRouter& stage_router;
   Cluster& cluster;
-  RetryBudgets& retries;
-  routing::ServiceTimeEstimates& paces;
+  RetryBudgets& retry_budgets;
+  routing::ServiceTimeEstimates& service_times;
   routing::RequestWeights& weights;
   SuspectTable& suspects;
-  RequestRecorder& journal;
-  const routing::DrainTimes& drain;
+  RequestRecorder& recorder;
+  const routing::DrainTimes& drain_times;
 };
 
 /// @brief One caller's request on its way through the stages to its server and
@@ -72,7 +72,7 @@
   void OnShutdown();
 
  private:
-  class Send;
+  class Attempt;
 
   RequestFlow(FlowServices& services,
               RelayExchangePtr exchange,
@@ -83,10 +83,10 @@
   std::optional<ErrorKind> Admit();
   std::optional<ErrorKind> CheckKey();
   /// Refuses the request if its stages can't end while its caller waits.
-  bool RefusedForTime();
+  bool RefuseIfStagesLate();
   /// Refuses a late request that this daemon may not live to answer.
-  bool RefusedForDrain();
-  void TellAdmitted();
+  bool RefuseIfDraining();
+  void RecordAdmission();
   void Start();
   void Advance();
   void RunStage(std::uint32_t stage);
@@ -104,51 +104,51 @@
   void OnBody(std::string_view part);
   void OnAnswered();
   void OnNotRun(const ServerAnswer& answer);
-  void OnBroken(RelayFailure failure);
+  void OnAttemptFailure(RelayFailure failure);
   /// Watches for the first part of an answer that does not come.
-  void ExpectFirstPart();
+  void StartFirstByteTimer();
   /// Judges the server some time from now, after its bytes have been read.
-  void JudgeAfter(Duration wait, void (RequestFlow::*judge)());
-  void OnOverdue();
+  void CheckAfter(Duration wait, void (RequestFlow::*check)());
+  void OnFirstByteOverdue();
   /// Time since the request was sent, without the way there and back.
-  Duration TakenByServer(TimePoint now) const;
+  Duration TimeAtServer(TimePoint now) const;
   /// The server has begun to answer; its pace is learnt from that.
-  void OnFirstPart();
+  void OnFirstByte();
   /// Watches a stream for a server that falls silent in the middle of it.
-  void WatchStream();
-  void OnStreamWatch();
-  void DropAndSendAgain(std::string_view what, std::string_view reason);
+  void StartSilenceTimer();
+  void OnSilenceTimer();
+  void RetryAndCancel(std::string_view what, std::string_view reason);
   /// The stages end too late for the caller to wait for the answer.
   void OnStagesOverdue();
   void ReportCrash();
-  bool MaySendAgain() const;
+  bool CanRetry() const;
   /// Sends again if the limits allow it.
-  bool TrySendAgain(std::string_view what, std::string_view reason);
-  void Occupy(const routing::ServerPtr& server);
-  void Leave();
+  bool TryRetry(std::string_view what, std::string_view reason);
+  void AssignServer(const routing::ServerPtr& server);
+  void UnassignServer();
 
   void RelayPart(std::string_view part);
-  void Release(std::vector<routing::StageResults> spent);
+  void ReleaseResults(std::vector<routing::StageResults> unneeded);
 
   void Refuse(ErrorKind kind, std::string_view detail);
   void Refuse(ErrorKind kind,
               std::string_view detail,
               std::optional<Duration> retry_after);
-  void BreakOff(std::string_view detail);
+  void Fail(std::string_view detail);
   void OnTimeout();
-  void OnCallerGone();
+  void OnCallerDisconnect();
   void Finish(std::string_view outcome, int status, std::string_view detail);
 
   bool repeatable() const { return route_->MayRepeat(); }
   Duration TimeLeft() const;
   /// The least that the request's own server takes.
-  Duration LeastAnswer() const;
+  Duration MinAnswerTime() const;
   double TokensExpected() const;
   /// What the request's own server takes until the first part of its answer,
   /// where nothing waits.
-  Duration UsualFirstPart() const;
+  Duration TypicalTimeToFirstByte() const;
   /// When the stages must be done for the answer to be of use.
-  TimePoint StagesBy() const;
+  TimePoint StagesDeadline() const;
 
   FlowServices& services_;
   RelayExchangePtr exchange_;
@@ -160,36 +160,38 @@
   const routing::ServiceSpec* service_ = nullptr;
   std::string service_name_;
   Fingerprint fingerprint_;
-  TimePoint began_{};
-  TimePoint limit_{};
+  TimePoint started_at_{};
+  TimePoint deadline_{};
   double weight_ = 1;  ///< among the requests of its route
-  TimerId limit_timer_;
-  TimerId overdue_timer_;
+  TimerId deadline_timer_;
+  TimerId answer_timer_;
   TimerId stages_timer_;
 
   std::optional<routing::StagePlan> plan_;
-  std::map<std::uint32_t, std::unique_ptr<GroupHandle>> running_;
-  std::map<std::uint32_t, std::string> results_in_;  ///< data centre, by stage
+  std::map<std::uint32_t, std::unique_ptr<GroupHandle>> running_stages_;
+  std::map<std::uint32_t, std::string>
+      result_data_centres_;  ///< data centre, by stage
   /// Data centre of the server that will probably read the results.
-  Duration stages_expected_{};
-  std::string home_;
-  std::uint32_t remakes_ = 0;
-  TimePoint stages_done_{};
+  Duration expected_stage_time_{};
+  std::string home_data_centre_;
+  std::uint32_t recomputations_ = 0;
+  TimePoint stages_done_at_{};
 
-  std::unique_ptr<Send> send_;
-  std::vector<std::unique_ptr<Send>> old_sends_;
+  std::unique_ptr<Attempt> attempt_;
+  std::vector<std::unique_ptr<Attempt>> old_attempts_;
   routing::ServerPtr server_;
-  routing::ServerLoad occupied_;
+  routing::ServerLoad placed_load_;
   TimePoint sent_at_{};
-  double unread_ = 0;  ///< tokens before the first event, others' too
-  double waves_ = 1;   ///< calls' work before the answer, its own too
+  double pending_prefill_tokens_ =
+      0;              ///< tokens before the first event, others' too
+  double waves_ = 1;  ///< calls' work before the answer, its own too
   std::vector<std::string> tried_;
-  std::uint32_t sends_ = 0;  ///< that a server may have run or refused
+  std::uint32_t attempts_ = 0;  ///< that a server may have run or refused
   bool may_have_run_ = false;
   /// A server before the present one may have run it.
   bool earlier_may_have_run_ = false;
-  TimePoint first_at_{};
-  TimePoint last_part_at_{};
+  TimePoint first_byte_at_{};
+  TimePoint last_byte_at_{};
 
   ServerAnswer answer_;
   std::string body_;
--- a/packages/gateway/include/gentianroute/gateway/request_recorder.h
+++ b/packages/gateway/include/gentianroute/gateway/request_recorder.h
@@ -25,11 +25,11 @@
   std::string_view outcome;
   std::string_view detail;
   int status = 0;
-  std::uint32_t sends = 0;
+  std::uint32_t attempts = 0;
   std::uint64_t deployment_version = 0;
-  Duration stages{};  ///< until all stages were done
-  Duration first{};   ///< until the first part of the answer
-  Duration total{};
+  Duration stages_time{};         ///< until all stages were done
+  Duration time_to_first_byte{};  ///< until the first part of the answer
+  Duration total_time{};
   routing::RouteKind kind = routing::RouteKind::kIdempotent;
 };
 
@@ -40,9 +40,10 @@
   std::string_view organisation;
   std::uint64_t deployment_version = 0;
   std::string_view stage_pieces;  ///< as the caller gave them
-  std::string_view home;          ///< data centre of the server that it wants
+  std::string_view
+      home_data_centre;  ///< data centre of the server that it wants
   Duration time_left{};
-  Duration stages_expected{};  ///< by the backlogs as they are known here
+  Duration expected_stage_time{};  ///< by the backlogs as they are known here
 };
 
 /// @brief One send of a request's own call.
@@ -52,10 +53,12 @@
   std::string_view data_centre;
   double server_calls = 0;   ///< there, of all daemons, as known here
   double server_tokens = 0;  ///< memory that they take
-  double unread_before = 0;  ///< prompt tokens that are read before its own
-  double own_tokens = 0;     ///< of its prompt, but for the shared parts
-  double shared_unread = 0;  ///< shared tokens that may have to be read there
-  double score_ms = 0;       ///< lowest of all servers that may be used
+  double pending_prefill_tokens =
+      0;                  ///< prompt tokens that are read before its own
+  double own_tokens = 0;  ///< of its prompt, but for the shared parts
+  double uncached_shared_tokens =
+      0;                ///< shared tokens that may have to be read there
+  double score_ms = 0;  ///< lowest of all servers that may be used
   Duration time_left{};
 };
 
@@ -67,19 +70,19 @@
   void OnSent(const RequestSent& sent);
   void OnEnd(const RequestEnd& end);
   /// @brief A request was sent once more, resumed, or its stage made again.
-  void OnRepeat(std::string_view id,
-                std::string_view what,
-                std::string_view server,
-                std::string_view reason);
+  void OnRetry(std::string_view id,
+               std::string_view what,
+               std::string_view server,
+               std::string_view reason);
   void Write(MetricWriter& writer) const;
 
  private:
-  static constexpr std::size_t kKinds = 3;
+  static constexpr std::size_t kRouteKinds = 3;
 
   std::map<std::string, std::uint64_t, std::less<>> outcomes_;
-  std::map<std::string, std::uint64_t, std::less<>> repeats_;
-  std::array<DurationHistogram, kKinds> first_;
-  std::array<DurationHistogram, kKinds> total_;
+  std::map<std::string, std::uint64_t, std::less<>> retries_;
+  std::array<DurationHistogram, kRouteKinds> first_byte_times_;
+  std::array<DurationHistogram, kRouteKinds> total_times_;
 };
 
 }  // namespace gentianroute::gateway
--- a/packages/gateway/include/gentianroute/gateway/result_releaser.h
+++ b/packages/gateway/include/gentianroute/gateway/result_releaser.h
@@ -34,7 +34,7 @@
   EventLoop& loop_;
   RelayFetches fetches_;
   const Translator& translator_;
-  std::map<Endpoint, std::vector<std::string>> waiting_;
+  std::map<Endpoint, std::vector<std::string>> pending_;
   TimerId timer_;
 };
 
--- a/packages/gateway/include/gentianroute/gateway/retry_budgets.h
+++ b/packages/gateway/include/gentianroute/gateway/retry_budgets.h
@@ -17,7 +17,7 @@
  public:
   /// Kept back, so that daemons which see different numbers of each other
   /// still keep the common bound.
-  static constexpr double kUsed = 0.7;
+  static constexpr double kUsedShare = 0.7;
 
   RetryBudgets(double ratio, double slack) : ratio_(ratio), slack_(slack) {}
 
@@ -34,11 +34,11 @@
     if (found != budgets_.end()) {
       return found->second;
     }
-    const double part =
-        slack_ * kUsed / static_cast<double>(std::max<std::size_t>(1, daemons));
+    const double burst = slack_ * kUsedShare /
+                         static_cast<double>(std::max<std::size_t>(1, daemons));
     return budgets_
         .emplace(std::string(service),
-                 RetryBudget({ratio_ * kUsed, std::max(1.0, part)}))
+                 RetryBudget({ratio_ * kUsedShare, std::max(1.0, burst)}))
         .first->second;
   }
 
--- a/packages/gateway/include/gentianroute/gateway/stage_router.h
+++ b/packages/gateway/include/gentianroute/gateway/stage_router.h
@@ -30,7 +30,7 @@
  public:
   StageRouter(EventLoop& loop,
               Cluster& cluster,
-              StageScheduler& desk,
+              StageScheduler& local_scheduler,
               routing::ServerDirectory& servers,
               const routing::Topology& topology);
   ~StageRouter();
@@ -43,12 +43,12 @@
 
   using Done = std::function<void(StageOutcome)>;
   /// @param inputs where the inputs lie
-  /// @param read_in data centre of what reads the results, if known
+  /// @param reader_data_centre data centre of what reads the results, if known
   /// @return let go of it to drop the work; `done` is not called then
   std::unique_ptr<GroupHandle> Run(std::string_view service,
                                    routing::StageGroup group,
                                    std::vector<routing::PlacedBytes> inputs,
-                                   std::string_view read_in,
+                                   std::string_view reader_data_centre,
                                    Done done);
 
   /// @brief Frees the room of results that nobody will read any more.
@@ -57,16 +57,16 @@
                std::vector<std::string> results);
 
   /// @brief When all stages of a fresh plan would be done, from now.
-  Duration TimeFor(TimePoint now, const routing::StagePlan& plan);
+  Duration EstimatedTime(TimePoint now, const routing::StagePlan& plan);
   /// @brief The least that the stages after this one take, without waiting.
-  Duration LeastAfter(const routing::StagePlan& plan,
-                      std::uint32_t stage) const;
+  Duration MinTimeAfter(const routing::StagePlan& plan,
+                        std::uint32_t stage) const;
   /// @brief What the stages after this one take with full calls.
-  Duration UsualAfter(const routing::StagePlan& plan,
-                      std::uint32_t stage) const;
+  Duration TypicalTimeAfter(const routing::StagePlan& plan,
+                            std::uint32_t stage) const;
   /// @brief When the pools that the plan needs will have worked off what waits
   /// now, late work too.
-  Duration BusyFor(TimePoint now, const routing::StagePlan& plan);
+  Duration BacklogTime(TimePoint now, const routing::StagePlan& plan);
   /// @brief Whether every service that the plan needs has a server.
   bool HasServers(const routing::StagePlan& plan) const;
 
@@ -74,7 +74,7 @@
   void OnPeerGone(std::string_view peer);
 
  private:
-  class Handed;
+  class RoutedGroup;
 
   void FlushReleases();
   const routing::StageCapacity* CapacityOf(std::string_view service) const;
@@ -83,13 +83,13 @@
 
   EventLoop& loop_;
   Cluster& cluster_;
-  StageScheduler& desk_;
+  StageScheduler& local_scheduler_;
   routing::ServerDirectory& servers_;
   const routing::Topology& topology_;
   routing::RouteTablePtr table_;
-  routing::PoolStateTable board_;
-  std::vector<Handed*> handed_;
-  std::map<PoolKey, std::vector<std::string>> released_;
+  routing::PoolStateTable pool_states_;
+  std::vector<RoutedGroup*> groups_;
+  std::map<PoolKey, std::vector<std::string>> pending_releases_;
   TimerId release_timer_;
 };
 
--- a/packages/gateway/src/request_flow.cc
+++ b/packages/gateway/src/request_flow.cc
@@ -6,8 +6,8 @@
 #include <utility>
 
 #include "gentianroute/base/problem.h"
+#include "gentianroute/gateway/detail/request_attempt.h"
 #include "gentianroute/gateway/detail/request_limits.h"
-#include "gentianroute/gateway/detail/request_send.h"
 
 // From the arrival of a request to its answer: admission, time limits,
 // refusals.
@@ -15,13 +15,13 @@
 namespace gentianroute::gateway {
 namespace {
 
-using detail::kLeastAnswer;
-using detail::kUsualAnswer;
+using detail::kMinAnswerTime;
+using detail::kTypicalAnswerTime;
 
 /// Bounds on what callers are told to wait before they ask again.
-constexpr Duration kShortestWait = std::chrono::milliseconds(100);
-constexpr Duration kUsualWait = std::chrono::milliseconds(300);
-constexpr Duration kLongestWait = std::chrono::seconds(5);
+constexpr Duration kMinRetryAfter = std::chrono::milliseconds(100);
+constexpr Duration kOverloadRetryAfter = std::chrono::milliseconds(300);
+constexpr Duration kMaxRetryAfter = std::chrono::seconds(5);
 
 Fingerprint FingerprintOf(std::string_view key,
                           std::string_view target,
@@ -32,9 +32,9 @@
 }
 
 /// Uniform in [0, 1), the same for the same request.
-double DrawOf(std::string_view id) {
-  constexpr double kRange = 18446744073709551616.0;  // 2^64
-  return static_cast<double>(XXH3_64bits(id.data(), id.size())) / kRange;
+double HashToUnitInterval(std::string_view id) {
+  constexpr double kHashRange = 18446744073709551616.0;  // 2^64
+  return static_cast<double>(XXH3_64bits(id.data(), id.size())) / kHashRange;
 }
 
 }  // namespace
@@ -61,9 +61,9 @@
       exchange_(std::move(exchange)),
       table_(std::move(table)),
       request_(services.translator.ReadRequest(exchange_->head())),
-      began_(exchange_->start_time()) {
+      started_at_(exchange_->start_time()) {
   all.push_back(*this);
-  exchange_->SetOnDisconnect([this] { OnCallerGone(); });
+  exchange_->SetOnDisconnect([this] { OnCallerDisconnect(); });
 }
 
 RequestFlow::~RequestFlow() = default;
@@ -82,7 +82,8 @@
   if (const auto kind = CheckKey()) {
     return kind;
   }
-  service_name_ = routing::PickService(*route_, DrawOf(request_.id));
+  service_name_ =
+      routing::PickService(*route_, HashToUnitInterval(request_.id));
   service_ = table_->FindService(service_name_);
   fingerprint_ = FingerprintOf(request_.key.value_or(""),
                                exchange_->head().target, exchange_->body());
@@ -110,26 +111,28 @@
 
 void RequestFlow::Start() {
   const Duration caller_timeout = request_.timeout.value_or(route_->timeout);
-  limit_ = began_ + std::min(caller_timeout, route_->timeout);
+  deadline_ = started_at_ + std::min(caller_timeout, route_->timeout);
   if (IsGeneration()) {
     weight_ = services_.weights.Of(route_->name, request_.prompt.tokens_in);
   }
   plan_.emplace(route_->stages, request_.stage_pieces);
-  services_.retries.OnRequest(service_name_, services_.cluster.live_daemons());
-  if (RefusedForTime() || RefusedForDrain()) {
+  services_.retry_budgets.OnRequest(service_name_,
+                                    services_.cluster.live_daemons());
+  if (RefuseIfStagesLate() || RefuseIfDraining()) {
     return;
   }
-  limit_timer_ = services_.loop.At(limit_, [this] { OnTimeout(); });
-  stages_timer_ = services_.loop.At(StagesBy(), [this] { OnStagesOverdue(); });
-  if (const routing::ServerChoice home = ChooseServer();
-      home.server != nullptr) {
-    home_ = home.server->record().data_centre;
+  deadline_timer_ = services_.loop.At(deadline_, [this] { OnTimeout(); });
+  stages_timer_ =
+      services_.loop.At(StagesDeadline(), [this] { OnStagesOverdue(); });
+  if (const routing::ServerChoice choice = ChooseServer();
+      choice.server != nullptr) {
+    home_data_centre_ = choice.server->record().data_centre;
   }
-  TellAdmitted();
+  RecordAdmission();
   Advance();
 }
 
-void RequestFlow::TellAdmitted() {
+void RequestFlow::RecordAdmission() {
   std::string pieces;
   for (const std::uint32_t count : request_.stage_pieces) {
     pieces += (pieces.empty() ? "" : ",") + std::to_string(count);
@@ -141,70 +144,74 @@
       organisation_ == nullptr ? std::string_view{} : organisation_->name;
   admitted.deployment_version = table_->version();
   admitted.stage_pieces = pieces;
-  admitted.home = home_;
+  admitted.home_data_centre = home_data_centre_;
   admitted.time_left = TimeLeft();
-  admitted.stages_expected = stages_expected_;
-  services_.journal.OnAdmitted(admitted);
+  admitted.expected_stage_time = expected_stage_time_;
+  services_.recorder.OnAdmitted(admitted);
 }
 
-bool RequestFlow::RefusedForTime() {
-  if (!services_.stages.HasServers(*plan_)) {
+bool RequestFlow::RefuseIfStagesLate() {
+  if (!services_.stage_router.HasServers(*plan_)) {
     Refuse(ErrorKind::kNoServer, "a stage has no server");
     return true;
   }
   const TimePoint now = services_.loop.Now();
-  stages_expected_ = services_.stages.TimeFor(now, *plan_);
-  if (now + stages_expected_ > StagesBy()) {
+  expected_stage_time_ = services_.stage_router.EstimatedTime(now, *plan_);
+  if (now + expected_stage_time_ > StagesDeadline()) {
     Refuse(ErrorKind::kOverloaded, "the stages can't be done in time");
     return true;
   }
   return false;
 }
 
-bool RequestFlow::RefusedForDrain() {
-  const routing::ServiceTimeEstimate& pace = services_.paces.Of(service_name_);
+bool RequestFlow::RefuseIfDraining() {
+  const routing::ServiceTimeEstimate& estimate =
+      services_.service_times.Of(service_name_);
   const Duration answer =
-      IsGeneration()
-          ? UsualFirstPart() + pace.DecodeTime(request_.prompt.tokens_out)
-          : pace.ServiceTime();
-  if (services_.drain.CanAccept(services_.loop.Now(),
-                                stages_expected_ + answer)) {
+      IsGeneration() ? TypicalTimeToFirstByte() +
+                           estimate.DecodeTime(request_.prompt.tokens_out)
+                     : estimate.ServiceTime();
+  if (services_.drain_times.CanAccept(services_.loop.Now(),
+                                      expected_stage_time_ + answer)) {
     return false;
   }
   Refuse(ErrorKind::kShuttingDown, "the daemon stops before it could answer");
   return true;
 }
 
-Duration RequestFlow::LeastAnswer() const {
+Duration RequestFlow::MinAnswerTime() const {
   if (route_->kind != routing::RouteKind::kStream) {
-    return kLeastAnswer;
+    return kMinAnswerTime;
   }
-  const routing::ServiceTimeEstimate& pace = services_.paces.Of(service_name_);
-  return kLeastAnswer + pace.DecodeTime(TokensExpected());
+  const routing::ServiceTimeEstimate& estimate =
+      services_.service_times.Of(service_name_);
+  return kMinAnswerTime + estimate.DecodeTime(TokensExpected());
 }
 
 double RequestFlow::TokensExpected() const {
   return std::min(request_.prompt.tokens_expected, request_.prompt.tokens_out);
 }
 
-Duration RequestFlow::UsualFirstPart() const {
+Duration RequestFlow::TypicalTimeToFirstByte() const {
   if (!IsGeneration()) {
-    return kUsualAnswer;
+    return kTypicalAnswerTime;
   }
-  const routing::ServiceTimeEstimate& pace = services_.paces.Of(service_name_);
-  return pace.TimeToFirstEvent(request_.prompt.OwnTokens()) +
-         services_.topology.RoundTrip(home_);
+  const routing::ServiceTimeEstimate& estimate =
+      services_.service_times.Of(service_name_);
+  return estimate.TimeToFirstEvent(request_.prompt.OwnTokens()) +
+         services_.topology.RoundTrip(home_data_centre_);
 }
 
-TimePoint RequestFlow::StagesBy() const {
+TimePoint RequestFlow::StagesDeadline() const {
   // The caller of a stream that goes on elsewhere waits from its last event.
-  const TimePoint since = std::max(began_, last_part_at_);
-  const TimePoint first = since + route_->FirstByteTimeout() - kUsualAnswer;
-  return std::min(limit_ - LeastAnswer(), first);
+  const TimePoint since = std::max(started_at_, last_byte_at_);
+  const TimePoint first =
+      since + route_->FirstByteTimeout() - kTypicalAnswerTime;
+  return std::min(deadline_ - MinAnswerTime(), first);
 }
 
 Duration RequestFlow::TimeLeft() const {
-  return limit_ - services_.loop.Now();
+  return deadline_ - services_.loop.Now();
 }
 
 void RequestFlow::Refuse(ErrorKind kind, std::string_view detail) {
@@ -214,9 +221,9 @@
   }
   // Who comes back sooner meets the same queue.
   const Duration busy =
-      plan_ ? services_.stages.BusyFor(services_.loop.Now(), *plan_)
+      plan_ ? services_.stage_router.BacklogTime(services_.loop.Now(), *plan_)
             : Duration{0};
-  Refuse(kind, detail, std::max(busy, kUsualWait));
+  Refuse(kind, detail, std::max(busy, kOverloadRetryAfter));
 }
 
 void RequestFlow::Refuse(ErrorKind kind,
@@ -227,11 +234,11 @@
   // An answer in the middle of a stream is no answer, and "not run" has to be
   // true: both come up when a broken run can't be made good.
   if (answer_begun_ || (says_not_run && may_have_run_)) {
-    BreakOff(detail);
+    Fail(detail);
     return;
   }
   if (retry_after) {
-    retry_after = std::clamp(*retry_after, kShortestWait, kLongestWait);
+    retry_after = std::clamp(*retry_after, kMinRetryAfter, kMaxRetryAfter);
   }
   exchange_->Respond(
       answer.http_status,
@@ -240,7 +247,7 @@
   Finish(answer.name, answer.http_status, detail);
 }
 
-void RequestFlow::BreakOff(std::string_view detail) {
+void RequestFlow::Fail(std::string_view detail) {
   const ErrorKind kind =
       answer_begun_ ? ErrorKind::kStreamBroken : ErrorKind::kOutcomeUnknown;
   if (answer_begun_) {
@@ -259,7 +266,7 @@
 void RequestFlow::OnTimeout() {
   const Ptr keep(this);
   if (answer_begun_) {
-    BreakOff("the time limit passed");
+    Fail("the time limit passed");
     return;
   }
   if (!may_have_run_) {
@@ -276,7 +283,7 @@
   Refuse(ErrorKind::kShuttingDown, "the daemon stops");
 }
 
-void RequestFlow::OnCallerGone() {
+void RequestFlow::OnCallerDisconnect() {
   Finish("caller_gone", 0, "");
 }
 
@@ -288,11 +295,11 @@
     return;
   }
   const TimePoint now = services_.loop.Now();
-  services_.loop.Cancel(limit_timer_);
-  services_.loop.Cancel(overdue_timer_);
+  services_.loop.Cancel(deadline_timer_);
+  services_.loop.Cancel(answer_timer_);
   services_.loop.Cancel(stages_timer_);
   if (plan_) {
-    Release(plan_->TakeAll());
+    ReleaseResults(plan_->TakeAll());
   }
   RequestEnd end;
   end.id = request_.id;
@@ -304,18 +311,21 @@
   end.outcome = outcome;
   end.detail = detail;
   end.status = status;
-  end.sends = sends_;
+  end.attempts = attempts_;
   end.deployment_version = table_ == nullptr ? 0 : table_->version();
-  end.stages =
-      stages_done_ == TimePoint{} ? Duration{0} : stages_done_ - began_;
-  end.first = first_at_ == TimePoint{} ? Duration{0} : first_at_ - began_;
-  end.total = now - began_;
+  end.stages_time = stages_done_at_ == TimePoint{}
+                        ? Duration{0}
+                        : stages_done_at_ - started_at_;
+  end.time_to_first_byte = first_byte_at_ == TimePoint{}
+                               ? Duration{0}
+                               : first_byte_at_ - started_at_;
+  end.total_time = now - started_at_;
   end.kind = route_ == nullptr ? routing::RouteKind::kIdempotent : route_->kind;
-  services_.journal.OnEnd(end);
-  Leave();
-  running_.clear();
-  if (send_ != nullptr) {
-    send_->Drop();
+  services_.recorder.OnEnd(end);
+  UnassignServer();
+  running_stages_.clear();
+  if (attempt_ != nullptr) {
+    attempt_->Cancel();
   }
   exchange_->SetOnDisconnect(nullptr);
 }
--- a/packages/gateway/src/request_flow_sends.cc
+++ b/packages/gateway/src/request_flow_attempts.cc
@@ -1,8 +1,8 @@
 #include <algorithm>
 #include <utility>
 
+#include "gentianroute/gateway/detail/request_attempt.h"
 #include "gentianroute/gateway/detail/request_limits.h"
-#include "gentianroute/gateway/detail/request_send.h"
 #include "gentianroute/gateway/request_flow.h"
 #include "gentianroute/loop/message_text.h"
 #include "gentianroute/routing/answer_watch.h"
@@ -12,20 +12,20 @@
 namespace gentianroute::gateway {
 namespace {
 
-using detail::kLeastAnswer;
-using detail::kMostRemakes;
+using detail::kMaxRecomputations;
+using detail::kMinAnswerTime;
 
-constexpr int kFirstFailure = 300;
-constexpr int kFirstServerFailure = 500;
+constexpr int kFirstNonSuccessStatus = 300;
+constexpr int kFirstServerErrorStatus = 500;
 constexpr int kConflict = 409;
 
 /// Share of a prompt that may be kept or not without falsifying what is learnt
 /// from its reading.
-constexpr double kMostUnsure = 0.25;
+constexpr double kMaxUncertainShare = 0.25;
 /// Connections idle for longer are not used for what must run at most once: a
 /// server that closes just then leaves it open whether the request has run.
-constexpr Duration kReuseOnce = std::chrono::milliseconds(1500);
-constexpr Duration kReuse = std::chrono::seconds(4);
+constexpr Duration kMaxIdleNonRepeatable = std::chrono::milliseconds(1500);
+constexpr Duration kMaxIdleRepeatable = std::chrono::seconds(4);
 
 }  // namespace
 
@@ -36,14 +36,15 @@
 routing::ServerChoice RequestFlow::ChooseServer() const {
   const TimePoint now = services_.loop.Now();
   const auto& servers = services_.servers.ServersOf(service_name_);
-  const routing::ServiceTimeEstimate& pace = services_.paces.Of(service_name_);
+  const routing::ServiceTimeEstimate& estimate =
+      services_.service_times.Of(service_name_);
   if (IsGeneration()) {
     const auto inputs = PlacedResults(plan_->FinalStages(), 1);
     return routing::ChooseModelServer(now, servers, tried_, request_.prompt,
-                                      inputs, *service_->model, pace,
+                                      inputs, *service_->model, estimate,
                                       services_.topology);
   }
-  return routing::ChoosePlainServer(now, servers, tried_, pace,
+  return routing::ChoosePlainServer(now, servers, tried_, estimate,
                                     services_.topology);
 }
 
@@ -82,7 +83,7 @@
   call.endpoint = {record.address, record.port};
   call.message = MessageFor(*choice.server);
   call.response_has_no_body = exchange_->head().method == "HEAD";
-  call.max_idle = repeatable() ? kReuse : kReuseOnce;
+  call.max_idle = repeatable() ? kMaxIdleRepeatable : kMaxIdleNonRepeatable;
   call.matches_response = [&translator = services_.translator,
                            id = request_.id](const MessageHead& head) {
     return translator.IsAnswerTo(head, id);
@@ -93,76 +94,79 @@
   sent.data_centre = record.data_centre;
   sent.server_calls = choice.server->calls();
   sent.server_tokens = choice.server->tokens();
-  sent.unread_before = choice.server->pending_prefill_tokens();
+  sent.pending_prefill_tokens = choice.server->pending_prefill_tokens();
   sent.own_tokens = request_.prompt.OwnTokens();
-  sent.shared_unread =
+  sent.uncached_shared_tokens =
       choice.server->prompt_cache().UncachedSharedTokens(request_.prompt);
   sent.score_ms = choice.score_ms;
   sent.time_left = TimeLeft();
-  services_.journal.OnSent(sent);
-  Occupy(choice.server);
-  ++sends_;
+  services_.recorder.OnSent(sent);
+  AssignServer(choice.server);
+  ++attempts_;
   may_have_run_ = true;
   answer_ = {};
   body_.clear();
   streaming_ = false;
-  send_ = std::make_unique<Send>(*this, std::move(call));
-  ExpectFirstPart();
+  attempt_ = std::make_unique<Attempt>(*this, std::move(call));
+  StartFirstByteTimer();
 }
 
-void RequestFlow::ExpectFirstPart() {
-  services_.loop.Cancel(overdue_timer_);
+void RequestFlow::StartFirstByteTimer() {
+  services_.loop.Cancel(answer_timer_);
   if (!repeatable()) {
     return;
   }
-  const routing::ServiceTimeEstimate& pace = services_.paces.Of(service_name_);
+  const routing::ServiceTimeEstimate& estimate =
+      services_.service_times.Of(service_name_);
   // Whether the shared parts are kept is not sure; the wait allows for reading
   // them.
   const Duration answer =
-      IsGeneration()
-          ? pace.TimeToFirstEvent(unread_ + request_.prompt.tokens_in)
-          : std::chrono::duration_cast<Duration>(pace.ServiceTime() * waves_);
+      IsGeneration() ? estimate.TimeToFirstEvent(pending_prefill_tokens_ +
+                                                 request_.prompt.tokens_in)
+                     : std::chrono::duration_cast<Duration>(
+                           estimate.ServiceTime() * waves_);
   const Duration expected =
       answer + services_.topology.RoundTrip(server_->record().data_centre);
-  JudgeAfter(routing::FirstByteOverdueAfter(*route_, expected),
-             &RequestFlow::OnOverdue);
+  CheckAfter(routing::FirstByteOverdueAfter(*route_, expected),
+             &RequestFlow::OnFirstByteOverdue);
 }
 
-void RequestFlow::JudgeAfter(Duration wait, void (RequestFlow::*judge)()) {
-  overdue_timer_ = services_.loop.After(wait, [this, judge] {
-    overdue_timer_ = services_.loop.After(routing::kSocketReadGrace,
-                                          [this, judge] { (this->*judge)(); });
+void RequestFlow::CheckAfter(Duration wait, void (RequestFlow::*check)()) {
+  answer_timer_ = services_.loop.After(wait, [this, check] {
+    answer_timer_ = services_.loop.After(routing::kSocketReadGrace,
+                                         [this, check] { (this->*check)(); });
   });
 }
 
-void RequestFlow::Occupy(const routing::ServerPtr& server) {
-  Leave();
+void RequestFlow::AssignServer(const routing::ServerPtr& server) {
+  UnassignServer();
   server_ = server;
   sent_at_ = services_.loop.Now();
-  unread_ = server_->pending_prefill_tokens();
+  pending_prefill_tokens_ = server_->pending_prefill_tokens();
   waves_ = routing::WavesAt(*server_);
-  occupied_.calls = 1;
+  placed_load_.calls = 1;
   const routing::Prompt& prompt = request_.prompt;
-  occupied_.tokens = prompt.tokens_in + prompt.tokens_out / 2;
-  occupied_.pending_prefill_tokens = prompt.OwnTokens();
-  server_->own() += occupied_;
+  placed_load_.tokens = prompt.tokens_in + prompt.tokens_out / 2;
+  placed_load_.pending_prefill_tokens = prompt.OwnTokens();
+  server_->own() += placed_load_;
 }
 
-void RequestFlow::Leave() {
+void RequestFlow::UnassignServer() {
   if (server_ == nullptr) {
     return;
   }
-  server_->own() -= occupied_;
-  occupied_ = {};
+  server_->own() -= placed_load_;
+  placed_load_ = {};
   server_ = nullptr;
 }
 
 void RequestFlow::OnHead(const ServerAnswer& answer) {
   answer_ = answer;
   server_->OnBytesReceived(services_.loop.Now());
-  services_.loop.Cancel(overdue_timer_);
+  services_.loop.Cancel(answer_timer_);
   const bool streams = route_->kind == routing::RouteKind::kStream &&
-                       answer.status < kFirstFailure && !answer.not_run;
+                       answer.status < kFirstNonSuccessStatus &&
+                       !answer.not_run;
   if (streams && !answer_begun_) {
     answer_begun_ = true;
     exchange_->Begin(answer.status, answer.forwarded_fields);
@@ -170,69 +174,71 @@
 }
 
 void RequestFlow::OnBody(std::string_view part) {
-  if (!answer_begun_ || answer_.status >= kFirstFailure) {
+  if (!answer_begun_ || answer_.status >= kFirstNonSuccessStatus) {
     body_.append(part);
     return;
   }
-  last_part_at_ = services_.loop.Now();
-  server_->OnBytesReceived(last_part_at_);
+  last_byte_at_ = services_.loop.Now();
+  server_->OnBytesReceived(last_byte_at_);
   if (!streaming_) {
     streaming_ = true;
-    OnFirstPart();
+    OnFirstByte();
   }
   RelayPart(part);
 }
 
-Duration RequestFlow::TakenByServer(TimePoint now) const {
+Duration RequestFlow::TimeAtServer(TimePoint now) const {
   return now - sent_at_ -
          services_.topology.RoundTrip(server_->record().data_centre);
 }
 
-void RequestFlow::OnFirstPart() {
+void RequestFlow::OnFirstByte() {
   const TimePoint now = services_.loop.Now();
-  first_at_ = first_at_ == TimePoint{} ? now : first_at_;
+  first_byte_at_ = first_byte_at_ == TimePoint{} ? now : first_byte_at_;
   const routing::Prompt& prompt = request_.prompt;
-  const Duration taken = TakenByServer(now);
-  routing::ServiceTimeEstimate& pace = services_.paces.Of(service_name_);
-  const double unread = unread_ + prompt.OwnTokens();
-  const double unsure = server_->prompt_cache().UncachedSharedTokens(prompt);
+  const Duration taken = TimeAtServer(now);
+  routing::ServiceTimeEstimate& estimate =
+      services_.service_times.Of(service_name_);
+  const double prefill_tokens = pending_prefill_tokens_ + prompt.OwnTokens();
+  const double uncertain = server_->prompt_cache().UncachedSharedTokens(prompt);
   server_->history().OnAnswer(
       now, true,
-      Seconds(taken) / Seconds(pace.TimeToFirstEvent(unread + unsure)));
-  if (unsure <= kMostUnsure * unread) {
-    pace.OnFirstEvent(unread, taken);
+      Seconds(taken) /
+          Seconds(estimate.TimeToFirstEvent(prefill_tokens + uncertain)));
+  if (uncertain <= kMaxUncertainShare * prefill_tokens) {
+    estimate.OnFirstEvent(prefill_tokens, taken);
   }
   if (IsGeneration()) {
     server_->prompt_cache().OnPrefill(
         now, prompt, static_cast<double>(service_->model->memory_tokens));
   }
-  server_->own().pending_prefill_tokens -= occupied_.pending_prefill_tokens;
-  occupied_.pending_prefill_tokens = 0;
+  server_->own().pending_prefill_tokens -= placed_load_.pending_prefill_tokens;
+  placed_load_.pending_prefill_tokens = 0;
   // The server has read the results by now; a resumed run makes them again.
-  Release(plan_->TakeAll());
+  ReleaseResults(plan_->TakeAll());
   if (repeatable()) {
-    WatchStream();
+    StartSilenceTimer();
   }
 }
 
-void RequestFlow::WatchStream() {
-  JudgeAfter(routing::StreamSilenceTimeout(*route_),
-             &RequestFlow::OnStreamWatch);
+void RequestFlow::StartSilenceTimer() {
+  CheckAfter(routing::StreamSilenceTimeout(*route_),
+             &RequestFlow::OnSilenceTimer);
 }
 
-void RequestFlow::OnStreamWatch() {
+void RequestFlow::OnSilenceTimer() {
   if (server_ == nullptr) {
     return;
   }
   const TimePoint now = services_.loop.Now();
   if (server_->HasReceivedSince(now - routing::StreamSilenceTimeout(*route_))) {
-    WatchStream();
+    StartSilenceTimer();
     return;
   }
   const Ptr keep(this);
   server_->history().OnConnectionFailure(now);
   events_.DropPartial();
-  DropAndSendAgain("silent", "the server fell silent");
+  RetryAndCancel("silent", "the server fell silent");
 }
 
 void RequestFlow::RelayPart(std::string_view part) {
@@ -249,87 +255,89 @@
     OnNotRun(answer_);
     return;
   }
-  if (answer_begun_ && answer_.status < kFirstFailure) {
-    services_.paces.Of(service_name_)
-        .OnStreamEnd(TokensExpected(), now - first_at_);
-    Leave();
+  if (answer_begun_ && answer_.status < kFirstNonSuccessStatus) {
+    services_.service_times.Of(service_name_)
+        .OnStreamEnd(TokensExpected(), now - first_byte_at_);
+    UnassignServer();
     exchange_->Write(events_.TakePartial());
     exchange_->End();
     services_.suspects.OnAnswered(fingerprint_);
     Finish("answered", answer_.status, "");
     return;
   }
-  const bool failed = answer_.status >= kFirstServerFailure;
-  const Duration taken = TakenByServer(now);
-  routing::ServiceTimeEstimate& pace = services_.paces.Of(service_name_);
+  const bool failed = answer_.status >= kFirstServerErrorStatus;
+  const Duration taken = TimeAtServer(now);
+  routing::ServiceTimeEstimate& estimate =
+      services_.service_times.Of(service_name_);
   server_->history().OnAnswer(
-      now, !failed, Seconds(taken) / (Seconds(pace.ServiceTime()) * waves_));
+      now, !failed,
+      Seconds(taken) / (Seconds(estimate.ServiceTime()) * waves_));
   if (!failed && !IsGeneration()) {
-    pace.OnAnswer(waves_, taken);
+    estimate.OnAnswer(waves_, taken);
   }
-  Leave();
+  UnassignServer();
   if (answer_begun_) {
     // A resumed run was refused after events had gone out.
-    BreakOff("the server that should go on failed");
+    Fail("the server that should go on failed");
     return;
   }
   if (failed && repeatable()) {
     earlier_may_have_run_ = true;
-    if (TrySendAgain("failure", "server failure")) {
+    if (TryRetry("failure", "server failure")) {
       return;
     }
   }
   services_.suspects.OnAnswered(fingerprint_);
   exchange_->Respond(answer_.status, answer_.forwarded_fields, body_);
-  first_at_ = first_at_ == TimePoint{} ? now : first_at_;
+  first_byte_at_ = first_byte_at_ == TimePoint{} ? now : first_byte_at_;
   Finish(failed ? "server_failure" : "answered", answer_.status, "");
 }
 
 void RequestFlow::OnNotRun(const ServerAnswer& answer) {
   const std::string status = std::to_string(answer.status);
   const std::string server = server_->record().id;
-  if (answer.status == kConflict && ++remakes_ <= kMostRemakes &&
+  if (answer.status == kConflict && ++recomputations_ <= kMaxRecomputations &&
       !answer_begun_) {
-    services_.journal.OnRepeat(request_.id, "stage", server,
+    services_.recorder.OnRetry(request_.id, "stage", server,
                                "the results are gone");
-    Leave();
+    UnassignServer();
     tried_.pop_back();
-    Release(
+    ReleaseResults(
         plan_->RecomputeInputs(static_cast<std::uint32_t>(plan_->stages())));
     Advance();
     return;
   }
   server_->history().OnConnectionFailure(services_.loop.Now());
-  Leave();
+  UnassignServer();
   may_have_run_ = earlier_may_have_run_;
-  if (TrySendAgain("refused", status)) {
+  if (TryRetry("refused", status)) {
     return;
   }
   Refuse(ErrorKind::kOverloaded, "the server refused it: " + status);
 }
 
-void RequestFlow::OnBroken(RelayFailure failure) {
+void RequestFlow::OnAttemptFailure(RelayFailure failure) {
   const TimePoint now = services_.loop.Now();
   const std::string server = server_->record().id;
   server_->history().OnConnectionFailure(now);
-  services_.loop.Cancel(overdue_timer_);
+  services_.loop.Cancel(answer_timer_);
   if (failure == RelayFailure::kNotSent) {
     services_.suspects.OnServerDown(now, server);
-    --sends_;
+    --attempts_;
     may_have_run_ = earlier_may_have_run_;
-    Leave();
-    services_.journal.OnRepeat(request_.id, "connect", server, "no connection");
+    UnassignServer();
+    services_.recorder.OnRetry(request_.id, "connect", server, "no connection");
     SendToServer();
     return;
   }
   ReportCrash();
   earlier_may_have_run_ = true;
-  Leave();
+  UnassignServer();
   events_.DropPartial();
-  if (repeatable() && TrySendAgain("broken", "the connection broke")) {
+  if (repeatable() && TryRetry("broken", "the connection broke")) {
     return;
   }
-  BreakOff("the server's answer broke off");
+  Fail("the server's answer broke off");
 }
 
 void RequestFlow::ReportCrash() {
@@ -339,22 +347,22 @@
       {&fingerprint_, 1});
 }
 
-bool RequestFlow::MaySendAgain() const {
-  return sends_ < route_->max_attempts && TimeLeft() > kLeastAnswer;
+bool RequestFlow::CanRetry() const {
+  return attempts_ < route_->max_attempts && TimeLeft() > kMinAnswerTime;
 }
 
-bool RequestFlow::TrySendAgain(std::string_view what, std::string_view reason) {
+bool RequestFlow::TryRetry(std::string_view what, std::string_view reason) {
   const std::size_t daemons = services_.cluster.live_daemons();
-  if (!MaySendAgain() || !services_.retries.TryTake(service_name_, daemons)) {
+  if (!CanRetry() || !services_.retry_budgets.TryTake(service_name_, daemons)) {
     return false;
   }
-  services_.journal.OnRepeat(request_.id, what,
+  services_.recorder.OnRetry(request_.id, what,
                              tried_.empty() ? "" : tried_.back(), reason);
-  old_sends_.push_back(std::move(send_));
+  old_attempts_.push_back(std::move(attempt_));
   if (plan_->FinalInputs().empty() && !route_->stages.empty() &&
       answer_begun_) {
     // The results went when the first run had read them.
-    Release(
+    ReleaseResults(
         plan_->RecomputeInputs(static_cast<std::uint32_t>(plan_->stages())));
     Advance();
     return true;
@@ -363,23 +371,23 @@
   return true;
 }
 
-void RequestFlow::OnOverdue() {
+void RequestFlow::OnFirstByteOverdue() {
   if (server_ == nullptr || answer_begun_ || answer_.status != 0) {
     return;
   }
   const Ptr keep(this);
-  if (!MaySendAgain()) {
+  if (!CanRetry()) {
     return;
   }
   routing::RecordOverdue(services_.loop.Now(), sent_at_, *server_);
-  DropAndSendAgain("overdue", "no answer yet");
+  RetryAndCancel("overdue", "no answer yet");
 }
 
-void RequestFlow::DropAndSendAgain(std::string_view what,
-                                   std::string_view reason) {
+void RequestFlow::RetryAndCancel(std::string_view what,
+                                 std::string_view reason) {
   earlier_may_have_run_ = true;
-  if (TrySendAgain(what, reason)) {
-    old_sends_.back()->Drop();
+  if (TryRetry(what, reason)) {
+    old_attempts_.back()->Cancel();
   }
 }
 
--- a/packages/gateway/src/request_flow_stages.cc
+++ b/packages/gateway/src/request_flow_stages.cc
@@ -10,7 +10,7 @@
 namespace gentianroute::gateway {
 namespace {
 
-using detail::kMostRemakes;
+using detail::kMaxRecomputations;
 
 std::string_view NameOf(std::optional<routing::StageFailure> failure) {
   constexpr std::array<std::string_view, 4> kNames = {"late", "input_gone",
@@ -22,7 +22,7 @@
 
 void RequestFlow::Advance() {
   if (plan_->complete()) {
-    stages_done_ = services_.loop.Now();
+    stages_done_at_ = services_.loop.Now();
     SendToServer();
     return;
   }
@@ -42,20 +42,22 @@
   group.result_bytes = static_cast<double>(spec.result_bytes);
   group.work_class = route_->name + ":" + std::to_string(stage);
   // What comes after this stage has to fit behind it.
-  group.soft_deadline = began_ + route_->target - UsualFirstPart() -
-                        services_.stages.UsualAfter(*plan_, stage);
-  group.deadline = StagesBy() - services_.stages.LeastAfter(*plan_, stage);
+  group.soft_deadline = started_at_ + route_->target -
+                        TypicalTimeToFirstByte() -
+                        services_.stage_router.TypicalTimeAfter(*plan_, stage);
+  group.deadline =
+      StagesDeadline() - services_.stage_router.MinTimeAfter(*plan_, stage);
   group.priority = organisation_ != nullptr && organisation_->priority
                        ? *organisation_->priority
                        : route_->priority;
   group.weight = weight_;
   plan_->Start(stage);
-  running_[stage] =
-      services_.stages.Run(spec.service, std::move(group),
-                           PlacedResults(spec.after, plan_->pieces(stage)),
-                           home_, [this, stage](StageOutcome outcome) {
-                             OnStageEnd(stage, std::move(outcome));
-                           });
+  running_stages_[stage] = services_.stage_router.Run(
+      spec.service, std::move(group),
+      PlacedResults(spec.after, plan_->pieces(stage)), home_data_centre_,
+      [this, stage](StageOutcome outcome) {
+        OnStageEnd(stage, std::move(outcome));
+      });
 }
 
 std::vector<routing::PlacedBytes> RequestFlow::PlacedResults(
@@ -63,8 +65,8 @@
     std::uint32_t reading_pieces) const {
   std::vector<routing::PlacedBytes> placed;
   for (const std::uint32_t stage : stages) {
-    const auto found = results_in_.find(stage);
-    if (found != results_in_.end()) {
+    const auto found = result_data_centres_.find(stage);
+    if (found != result_data_centres_.end()) {
       placed.push_back(routing::InputTransfer(
           found->second, static_cast<double>(plan_->spec(stage).result_bytes),
           plan_->pieces(stage), reading_pieces));
@@ -75,20 +77,20 @@
 
 void RequestFlow::OnStageEnd(std::uint32_t stage, StageOutcome outcome) {
   const Ptr keep(this);
-  const auto hold = running_.extract(stage);
+  const auto handle = running_stages_.extract(stage);
   LogEvent("stage_end")
       .ForRequest(request_.id, LogPriority::kLow)
       .Field("stage", stage)
       .Field("data_centre", outcome.data_centre)
       .Field("outcome", NameOf(outcome.group.failure))
-      .Field("at_ms", WholeMilliseconds(services_.loop.Now() - began_));
+      .Field("at_ms", WholeMilliseconds(services_.loop.Now() - started_at_));
   if (outcome.group.failure) {
     OnStageFailure(stage, *outcome.group.failure);
     return;
   }
-  results_in_[stage] = std::move(outcome.data_centre);
+  result_data_centres_[stage] = std::move(outcome.data_centre);
   plan_->Finish(stage, std::move(outcome.group.results));
-  Release(plan_->TakeUnneeded());
+  ReleaseResults(plan_->TakeUnneeded());
   Advance();
 }
 
@@ -108,20 +110,20 @@
     case StageFailure::kInputGone:
       break;
   }
-  if (++remakes_ > kMostRemakes) {
+  if (++recomputations_ > kMaxRecomputations) {
     Refuse(ErrorKind::kNoServer, "results of stages were lost again and again");
     return;
   }
-  services_.journal.OnRepeat(request_.id, "stage", "", "an input is gone");
-  Release(plan_->RecomputeInputs(stage));
+  services_.recorder.OnRetry(request_.id, "stage", "", "an input is gone");
+  ReleaseResults(plan_->RecomputeInputs(stage));
   Advance();
 }
 
-void RequestFlow::Release(std::vector<routing::StageResults> spent) {
-  for (routing::StageResults& stage : spent) {
-    services_.stages.Release(plan_->spec(stage.stage).service,
-                             results_in_[stage.stage],
-                             std::move(stage.results));
+void RequestFlow::ReleaseResults(std::vector<routing::StageResults> unneeded) {
+  for (routing::StageResults& stage : unneeded) {
+    services_.stage_router.Release(plan_->spec(stage.stage).service,
+                                   result_data_centres_[stage.stage],
+                                   std::move(stage.results));
   }
 }
 
--- a/packages/gateway/src/request_recorder.cc
+++ b/packages/gateway/src/request_recorder.cc
@@ -7,11 +7,11 @@
 namespace gentianroute::gateway {
 namespace {
 
-constexpr auto kKindNames =
+constexpr auto kRouteKindNames =
     std::to_array<std::string_view>({"idempotent", "non_idempotent", "stream"});
 
 /// Whether the caller got what it asked for, or left of its own will.
-bool EndsWell(std::string_view outcome) {
+bool IsExpectedOutcome(std::string_view outcome) {
   return outcome == "answered" || outcome == "caller_gone";
 }
 
@@ -24,9 +24,10 @@
       .Field("organisation", admitted.organisation)
       .Field("version", admitted.deployment_version)
       .Field("pieces", admitted.stage_pieces)
-      .Field("home", admitted.home)
+      .Field("home", admitted.home_data_centre)
       .Field("left_ms", WholeMilliseconds(admitted.time_left))
-      .Field("stages_expected_ms", WholeMilliseconds(admitted.stages_expected));
+      .Field("stages_expected_ms",
+             WholeMilliseconds(admitted.expected_stage_time));
 }
 
 void RequestRecorder::OnSent(const RequestSent& sent) {
@@ -36,9 +37,11 @@
       .Field("data_centre", sent.data_centre)
       .Field("server_calls", static_cast<std::int64_t>(sent.server_calls))
       .Field("server_tokens", static_cast<std::int64_t>(sent.server_tokens))
-      .Field("unread_before", static_cast<std::int64_t>(sent.unread_before))
+      .Field("unread_before",
+             static_cast<std::int64_t>(sent.pending_prefill_tokens))
       .Field("own_tokens", static_cast<std::int64_t>(sent.own_tokens))
-      .Field("shared_unread", static_cast<std::int64_t>(sent.shared_unread))
+      .Field("shared_unread",
+             static_cast<std::int64_t>(sent.uncached_shared_tokens))
       .Field("score_ms", static_cast<std::int64_t>(sent.score_ms))
       .Field("left_ms", WholeMilliseconds(sent.time_left));
 }
@@ -46,14 +49,14 @@
 void RequestRecorder::OnEnd(const RequestEnd& end) {
   ++outcomes_[std::string(end.outcome)];
   const auto kind = static_cast<std::size_t>(end.kind);
-  total_[kind].Add(end.total);
-  if (end.first.count() > 0) {
-    first_[kind].Add(end.first);
+  total_times_[kind].Add(end.total_time);
+  if (end.time_to_first_byte.count() > 0) {
+    first_byte_times_[kind].Add(end.time_to_first_byte);
   }
   LogEvent event("request_end");
   event
-      .ForRequest(end.id, EndsWell(end.outcome) ? LogPriority::kNormal
-                                                : LogPriority::kHigh)
+      .ForRequest(end.id, IsExpectedOutcome(end.outcome) ? LogPriority::kNormal
+                                                         : LogPriority::kHigh)
       .Field("route", end.route)
       .Field("organisation", end.organisation)
       .Field("outcome", end.outcome)
@@ -61,20 +64,20 @@
       .Field("version", end.deployment_version)
       .Field("service", end.service)
       .Field("server", end.server)
-      .Field("sends", end.sends)
-      .Field("stages_ms", WholeMilliseconds(end.stages))
-      .Field("first_ms", WholeMilliseconds(end.first))
-      .Field("total_ms", WholeMilliseconds(end.total));
+      .Field("sends", end.attempts)
+      .Field("stages_ms", WholeMilliseconds(end.stages_time))
+      .Field("first_ms", WholeMilliseconds(end.time_to_first_byte))
+      .Field("total_ms", WholeMilliseconds(end.total_time));
   if (!end.detail.empty()) {
     event.Field("detail", end.detail);
   }
 }
 
-void RequestRecorder::OnRepeat(std::string_view id,
-                               std::string_view what,
-                               std::string_view server,
-                               std::string_view reason) {
-  ++repeats_[std::string(what)];
+void RequestRecorder::OnRetry(std::string_view id,
+                              std::string_view what,
+                              std::string_view server,
+                              std::string_view reason) {
+  ++retries_[std::string(what)];
   LogEvent("request_repeat", LogLevel::kWarning)
       .ForRequest(id, LogPriority::kHigh)
       .Field("what", what)
@@ -91,21 +94,23 @@
   }
   writer.AddMetric("gentianroute_gateway_repeats_total", "counter",
                    "Work that was done once more, by what it was.");
-  for (const auto& [what, count] : repeats_) {
+  for (const auto& [what, count] : retries_) {
     const MetricLabel label{"what", what};
     writer.AddSample("gentianroute_gateway_repeats_total", {&label, 1}, count);
   }
   writer.AddMetric("gentianroute_gateway_first_seconds", "histogram",
                    "Time to the first part of an answer.");
-  for (std::size_t i = 0; i < kKinds; ++i) {
-    const MetricLabel label{"kind", kKindNames[i]};
-    first_[i].Write(writer, "gentianroute_gateway_first_seconds", {&label, 1});
+  for (std::size_t i = 0; i < kRouteKinds; ++i) {
+    const MetricLabel label{"kind", kRouteKindNames[i]};
+    first_byte_times_[i].Write(writer, "gentianroute_gateway_first_seconds",
+                               {&label, 1});
   }
   writer.AddMetric("gentianroute_gateway_total_seconds", "histogram",
                    "Time to the end of an answer.");
-  for (std::size_t i = 0; i < kKinds; ++i) {
-    const MetricLabel label{"kind", kKindNames[i]};
-    total_[i].Write(writer, "gentianroute_gateway_total_seconds", {&label, 1});
+  for (std::size_t i = 0; i < kRouteKinds; ++i) {
+    const MetricLabel label{"kind", kRouteKindNames[i]};
+    total_times_[i].Write(writer, "gentianroute_gateway_total_seconds",
+                          {&label, 1});
   }
 }
 
--- a/packages/gateway/src/result_releaser.cc
+++ b/packages/gateway/src/result_releaser.cc
@@ -9,9 +9,9 @@
 
 /// Releases within this time share a call. A server of large results is full
 /// after two calls, so it must be far below the time of a call.
-constexpr Duration kTick = std::chrono::milliseconds(20);
+constexpr Duration kReleasePeriod = std::chrono::milliseconds(20);
 constexpr Duration kCallTimeout = std::chrono::seconds(2);
-constexpr std::size_t kMostInCall = 400;
+constexpr std::size_t kMaxResultsPerCall = 400;
 
 }  // namespace
 
@@ -19,7 +19,7 @@
                                RelayClient& client,
                                const Translator& translator)
     : loop_(loop), fetches_(loop, client), translator_(translator) {
-  timer_ = loop_.Every(kTick, [this] { Flush(); });
+  timer_ = loop_.Every(kReleasePeriod, [this] { Flush(); });
 }
 
 ResultReleaser::~ResultReleaser() {
@@ -33,20 +33,20 @@
       LogEvent("result_unreadable", LogLevel::kWarning).Field("result", result);
       continue;
     }
-    waiting_[*holder].push_back(std::move(result));
+    pending_[*holder].push_back(std::move(result));
   }
 }
 
 void ResultReleaser::Flush() {
-  for (auto& [server, results] : std::exchange(waiting_, {})) {
+  for (auto& [server, results] : std::exchange(pending_, {})) {
     Send(server, std::move(results));
   }
 }
 
 void ResultReleaser::Send(const Endpoint& server,
                           std::vector<std::string> results) {
-  if (results.size() > kMostInCall) {
-    results.resize(kMostInCall);
+  if (results.size() > kMaxResultsPerCall) {
+    results.resize(kMaxResultsPerCall);
   }
   RelayCall call;
   call.endpoint = server;
--- a/packages/gateway/src/stage_router.cc
+++ b/packages/gateway/src/stage_router.cc
@@ -11,7 +11,7 @@
 
 /// After this many schedulers have broken off, this daemon calls the servers
 /// itself: a small direct share costs less than a request that waits on.
-constexpr std::uint32_t kMostSchedulers = 2;
+constexpr std::uint32_t kMaxSchedulerAttempts = 2;
 
 /// Releases within this time share a message to the scheduler.
 constexpr Duration kReleasePeriod = std::chrono::milliseconds(15);
@@ -20,51 +20,51 @@
 
 /// One group on its way: chooses a pool and its scheduler, and again if that
 /// one breaks off.
-class StageRouter::Handed final : public GroupHandle {
+class StageRouter::RoutedGroup final : public GroupHandle {
  public:
-  Handed(StageRouter& work,
-         std::string_view service,
-         routing::StageGroup group,
-         routing::PoolWork load,
-         Done done)
-      : work_(work),
+  RoutedGroup(StageRouter& router,
+              std::string_view service,
+              routing::StageGroup group,
+              routing::PoolWork pool_work,
+              Done done)
+      : router_(router),
         service_(service),
         group_(std::move(group)),
-        load_(std::move(load)),
+        pool_work_(std::move(pool_work)),
         done_(std::move(done)) {
-    work_.handed_.push_back(this);
-    Choose();
+    router_.groups_.push_back(this);
+    Submit();
   }
-  ~Handed() override {
-    work_.loop_.Cancel(timer_);
-    auto& all = work_.handed_;
+  ~RoutedGroup() override {
+    router_.loop_.Cancel(timer_);
+    auto& all = router_.groups_;
     all.erase(std::remove(all.begin(), all.end(), this), all.end());
   }
 
   void OnPeerGone(std::string_view peer) {
     if (scheduler_ == peer) {
-      ChooseLater();
+      ResubmitLater();
     }
   }
 
  private:
-  void ChooseLater() {
+  void ResubmitLater() {
     scheduler_.clear();
-    work_.loop_.Cancel(timer_);
-    timer_ = work_.loop_.After(Duration{0}, [this] { Choose(); });
+    router_.loop_.Cancel(timer_);
+    timer_ = router_.loop_.After(Duration{0}, [this] { Submit(); });
   }
 
-  void Choose() {
-    const TimePoint now = work_.loop_.Now();
-    const routing::StageCapacity* capacity = work_.CapacityOf(service_);
-    const auto pools = work_.PoolsOf(now, service_);
-    load_.time_left = group_.soft_deadline - now;
+  void Submit() {
+    const TimePoint now = router_.loop_.Now();
+    const routing::StageCapacity* capacity = router_.CapacityOf(service_);
+    const auto pools = router_.PoolsOf(now, service_);
+    pool_work_.time_left = group_.soft_deadline - now;
     const routing::PoolState* pool =
-        capacity == nullptr
-            ? nullptr
-            : routing::ChoosePool(pools, load_, *capacity, work_.topology_);
+        capacity == nullptr ? nullptr
+                            : routing::ChoosePool(pools, pool_work_, *capacity,
+                                                  router_.topology_);
     if (pool == nullptr) {
-      timer_ = work_.loop_.After(Duration{0}, [this] {
+      timer_ = router_.loop_.After(Duration{0}, [this] {
         End({routing::StageFailure::kNoServer, {}});
       });
       return;
@@ -72,17 +72,18 @@
     data_centre_ = pool->data_centre;
     const std::uint32_t calls =
         (group_.pieces + capacity->batch - 1) / capacity->batch;
-    work_.board_.OnWorkSubmitted(service_, data_centre_,
-                                 capacity->piece_time * group_.pieces +
-                                     capacity->call_overhead * calls / 2);
-    HandOver();
+    router_.pool_states_.OnWorkSubmitted(
+        service_, data_centre_,
+        capacity->piece_time * group_.pieces +
+            capacity->call_overhead * calls / 2);
+    SubmitToScheduler();
   }
 
-  void HandOver() {
-    scheduler_ = work_.cluster_.SchedulerOf({service_, data_centre_});
-    const bool here =
-        work_.cluster_.IsSelf(scheduler_) || schedulers_ >= kMostSchedulers;
-    ++schedulers_;
+  void SubmitToScheduler() {
+    scheduler_ = router_.cluster_.SchedulerOf({service_, data_centre_});
+    const bool here = router_.cluster_.IsSelf(scheduler_) ||
+                      scheduler_attempts_ >= kMaxSchedulerAttempts;
+    ++scheduler_attempts_;
     LogEvent("stage_handed")
         .ForRequest(group_.request, LogPriority::kLow)
         .Field("stage", group_.stage)
@@ -91,17 +92,17 @@
         .Field("scheduler", here ? "here" : scheduler_)
         .Field("pieces", group_.pieces)
         .Field("wanted_ms",
-               WholeMilliseconds(group_.soft_deadline - work_.loop_.Now()))
+               WholeMilliseconds(group_.soft_deadline - router_.loop_.Now()))
         .Field("limit_ms",
-               WholeMilliseconds(group_.deadline - work_.loop_.Now()));
+               WholeMilliseconds(group_.deadline - router_.loop_.Now()));
     if (here) {
       scheduler_.clear();
-      hold_ = work_.desk_.Run(
+      handle_ = router_.local_scheduler_.Run(
           service_, data_centre_, group_,
           [this](GroupOutcome outcome) { End(std::move(outcome)); });
       return;
     }
-    hold_ = work_.cluster_.RunGroupAt(
+    handle_ = router_.cluster_.RunGroupAt(
         scheduler_, {service_, data_centre_}, group_,
         [this](std::optional<GroupOutcome> outcome) {
           if (outcome) {
@@ -112,7 +113,7 @@
               .ForRequest(group_.request, LogPriority::kHigh)
               .Field("service", service_)
               .Field("scheduler", scheduler_);
-          ChooseLater();
+          ResubmitLater();
         });
   }
 
@@ -121,26 +122,26 @@
     done({std::move(outcome), data_centre_});
   }
 
-  StageRouter& work_;
+  StageRouter& router_;
   std::string service_;
   routing::StageGroup group_;
-  routing::PoolWork load_;
+  routing::PoolWork pool_work_;
   Done done_;
   std::string data_centre_;
   std::string scheduler_;
-  std::uint32_t schedulers_ = 0;
-  std::unique_ptr<GroupHandle> hold_;
+  std::uint32_t scheduler_attempts_ = 0;
+  std::unique_ptr<GroupHandle> handle_;
   TimerId timer_;
 };
 
 StageRouter::StageRouter(EventLoop& loop,
                          Cluster& cluster,
-                         StageScheduler& desk,
+                         StageScheduler& local_scheduler,
                          routing::ServerDirectory& servers,
                          const routing::Topology& topology)
     : loop_(loop),
       cluster_(cluster),
-      desk_(desk),
+      local_scheduler_(local_scheduler),
       servers_(servers),
       topology_(topology) {
   release_timer_ = loop_.Every(kReleasePeriod, [this] { FlushReleases(); });
@@ -154,8 +155,8 @@
                             std::string_view service,
                             std::string_view data_centre,
                             routing::Backlog backlog) {
-  board_.Report(now,
-                {std::string(service), std::string(data_centre), 0, backlog});
+  pool_states_.Report(
+      now, {std::string(service), std::string(data_centre), 0, backlog});
 }
 
 const routing::StageCapacity* StageRouter::CapacityOf(
@@ -173,9 +174,9 @@
     open[server->record().data_centre] += usable ? 1 : 0;
   }
   for (const auto& [data_centre, servers] : open) {
-    board_.SetServers(service, data_centre, servers);
+    pool_states_.SetServers(service, data_centre, servers);
   }
-  std::vector<routing::PoolState> pools = board_.PoolsOf(now, service);
+  std::vector<routing::PoolState> pools = pool_states_.PoolsOf(now, service);
   std::erase_if(pools, [&open](const routing::PoolState& pool) {
     return !open.contains(pool.data_centre);
   });
@@ -186,39 +187,43 @@
     std::string_view service,
     routing::StageGroup group,
     std::vector<routing::PlacedBytes> inputs,
-    std::string_view read_in,
+    std::string_view reader_data_centre,
     Done done) {
   const routing::StageCapacity* capacity = CapacityOf(service);
-  routing::PoolWork load;
-  load.pieces = group.pieces;
-  load.piece_time = capacity == nullptr ? Duration{0} : capacity->piece_time;
-  load.inputs = std::move(inputs);
-  load.result_bytes = group.result_bytes * group.pieces;
-  load.reader_data_centre = read_in;
-  return std::make_unique<Handed>(*this, service, std::move(group),
-                                  std::move(load), std::move(done));
+  routing::PoolWork pool_work;
+  pool_work.pieces = group.pieces;
+  pool_work.piece_time =
+      capacity == nullptr ? Duration{0} : capacity->piece_time;
+  pool_work.inputs = std::move(inputs);
+  pool_work.result_bytes = group.result_bytes * group.pieces;
+  pool_work.reader_data_centre = reader_data_centre;
+  return std::make_unique<RoutedGroup>(*this, service, std::move(group),
+                                       std::move(pool_work), std::move(done));
 }
 
 void StageRouter::Release(std::string_view service,
                           std::string_view data_centre,
                           std::vector<std::string> results) {
-  auto& waiting = released_[{std::string(service), std::string(data_centre)}];
-  waiting.insert(waiting.end(), std::make_move_iterator(results.begin()),
+  auto& pending =
+      pending_releases_[{std::string(service), std::string(data_centre)}];
+  pending.insert(pending.end(), std::make_move_iterator(results.begin()),
                  std::make_move_iterator(results.end()));
 }
 
 void StageRouter::FlushReleases() {
-  for (auto& [pool, results] : std::exchange(released_, {})) {
+  for (auto& [pool, results] : std::exchange(pending_releases_, {})) {
     const std::string& scheduler = cluster_.SchedulerOf(pool);
     if (cluster_.IsSelf(scheduler)) {
-      desk_.Release(pool.service, pool.data_centre, std::move(results));
+      local_scheduler_.Release(pool.service, pool.data_centre,
+                               std::move(results));
     } else {
       cluster_.ReleaseAt(scheduler, pool, results);
     }
   }
 }
 
-Duration StageRouter::TimeFor(TimePoint now, const routing::StagePlan& plan) {
+Duration StageRouter::EstimatedTime(TimePoint now,
+                                    const routing::StagePlan& plan) {
   std::vector<Duration> done(plan.stages(), Duration{0});
   Duration last{0};
   for (std::uint32_t stage = 0; stage < plan.stages(); ++stage) {
@@ -231,11 +236,11 @@
       continue;
     }
     const auto pools = PoolsOf(now, service);
-    const routing::PoolWork load{plan.pieces(stage), capacity->piece_time};
+    const routing::PoolWork pool_work{plan.pieces(stage), capacity->piece_time};
     const routing::PoolState* pool =
-        routing::ChoosePool(pools, load, *capacity, topology_);
+        routing::ChoosePool(pools, pool_work, *capacity, topology_);
     if (pool != nullptr) {
-      done[stage] += routing::EstimatedPoolTime(*pool, load, *capacity) +
+      done[stage] += routing::EstimatedPoolTime(*pool, pool_work, *capacity) +
                      topology_.RoundTrip(pool->data_centre);
     }
     last = std::max(last, done[stage]);
@@ -243,8 +248,8 @@
   return last;
 }
 
-Duration StageRouter::LeastAfter(const routing::StagePlan& plan,
-                                 std::uint32_t stage) const {
+Duration StageRouter::MinTimeAfter(const routing::StagePlan& plan,
+                                   std::uint32_t stage) const {
   return plan.LongestChainAfter(stage, [this](const routing::StageSpec& spec) {
     const routing::StageCapacity* capacity = CapacityOf(spec.service);
     return capacity == nullptr ? Duration{0}
@@ -252,8 +257,8 @@
   });
 }
 
-Duration StageRouter::UsualAfter(const routing::StagePlan& plan,
-                                 std::uint32_t stage) const {
+Duration StageRouter::TypicalTimeAfter(const routing::StagePlan& plan,
+                                       std::uint32_t stage) const {
   return plan.LongestChainAfter(stage, [this](const routing::StageSpec& spec) {
     const routing::StageCapacity* capacity = CapacityOf(spec.service);
     return capacity == nullptr ? Duration{0}
@@ -261,21 +266,22 @@
   });
 }
 
-Duration StageRouter::BusyFor(TimePoint now, const routing::StagePlan& plan) {
-  Duration busiest{0};
+Duration StageRouter::BacklogTime(TimePoint now,
+                                  const routing::StagePlan& plan) {
+  Duration longest{0};
   for (std::uint32_t stage = 0; stage < plan.stages(); ++stage) {
-    Duration free_in = Duration::max();
+    Duration shortest = Duration::max();
     for (const routing::PoolState& pool :
          PoolsOf(now, plan.spec(stage).service)) {
       if (pool.servers > 0) {
-        free_in = std::min(free_in, pool.backlog.all / pool.servers);
+        shortest = std::min(shortest, pool.backlog.all / pool.servers);
       }
     }
-    if (plan.pieces(stage) > 0 && free_in != Duration::max()) {
-      busiest = std::max(busiest, free_in);
+    if (plan.pieces(stage) > 0 && shortest != Duration::max()) {
+      longest = std::max(longest, shortest);
     }
   }
-  return busiest;
+  return longest;
 }
 
 bool StageRouter::HasServers(const routing::StagePlan& plan) const {
@@ -292,8 +298,8 @@
 }
 
 void StageRouter::OnPeerGone(std::string_view peer) {
-  for (Handed* handed : std::vector<Handed*>(handed_)) {
-    handed->OnPeerGone(peer);
+  for (RoutedGroup* group : std::vector<RoutedGroup*>(groups_)) {
+    group->OnPeerGone(peer);
   }
 }
 
