--- a/packages/gateway/include/gentianroute/gateway/detail/gateway_impl.h
+++ b/packages/gateway/include/gentianroute/gateway/detail/gateway_impl.h
@@ -29,20 +29,21 @@
 inline constexpr int kNotFound = 404;
 inline constexpr int kUnavailable = 503;
 
-/// The balancer asks once a second and takes a daemon out after two misses;
-/// until then it still sends new connections.
+/// The load balancer checks readiness once a second and removes a daemon after
+/// two failed checks. Until then it still sends new connections.
 inline constexpr Duration kBalancerDetectionTime =
     std::chrono::milliseconds(2600);
-/// Kept from the grace before the process is killed.
+/// Part of the drain grace that is left unused, so that the daemon ends before
+/// it is killed.
 inline constexpr Duration kDrainMargin = std::chrono::milliseconds(400);
-/// For the last answers to leave the host.
+/// Time for the last responses to leave the host.
 inline constexpr Duration kResponseFlushTime = std::chrono::milliseconds(50);
 inline constexpr Duration kDrainCheckPeriod = std::chrono::milliseconds(50);
 inline constexpr Duration kMaintenancePeriod = std::chrono::milliseconds(250);
 
 }  // namespace detail
 
-/// @brief What one daemon is made of, and how its parts hear of each other.
+/// @brief The components of one daemon, and the events passed between them.
 class Gateway::Impl final : public ClusterHandler {
  public:
   Impl(EventLoop& loop,
@@ -108,7 +109,7 @@
                drain_.ends_at, std::move(done));
   }
 
-  // What peers say and ask.
+  // ClusterHandler: messages and requests from peers.
   void FillBeat(schema::Beat::Builder beat, Load load) override;
   void OnBeat(schema::Beat::Reader beat) override;
   void OnPeerGone(std::string_view peer) override;
@@ -186,13 +187,15 @@
     return table_ == nullptr ? CallerLimits{} : table_->deployment().limits;
   }
 
-  /// Whether requests can be routed.
+  /// Whether the deployment and the host list are known, so that requests can
+  /// be routed.
   bool is_configured() const {
     return table_ != nullptr && server_rows_.known();
   }
   bool ready() const { return is_configured() && !draining_; }
 
-  /// Begins what has waited for the daemon to know its deployment.
+  /// Starts the queued requests if the daemon is configured or they have waited
+  /// long enough.
   void ServeStartQueue() {
     if (!is_configured() && !start_queue_.IsTimedOut(loop_.Now())) {
       return;
@@ -211,7 +214,7 @@
   }
 
   void AnswerMetrics(RelayExchange& exchange);
-  /// Takes out what a peer has told of its load on the servers.
+  /// Removes the load that a peer has reported from the servers.
   void RemovePeerLoads(std::string_view peer);
 
   void OnDeploymentRow(const StoredRow& row) {
@@ -236,7 +239,7 @@
     ServeStartQueueLater();
   }
 
-  /// Once what is being read now has been taken in.
+  /// Serves the queue once the rows at hand have been applied.
   void ServeStartQueueLater() {
     loop_.After(Duration{0}, [this] { ServeStartQueue(); });
   }
@@ -303,18 +306,23 @@
     FetchNewerRows();
   }
 
+  /// Follows the store's tables only while this daemon is the one that reads
+  /// the store for its data centre.
   void UpdateFollowing() {
     const bool reader = cluster_.IsStoreReader();
     deployment_.SetFollowing(reader);
     server_rows_.SetFollowing(reader);
   }
 
-  /// Takes from a peer what it knows and this daemon does not.
+  /// Fetches rows from a peer that has newer ones.
   void FetchNewerRows() {
     cluster_.FetchStoreCopy(deployment_.newest_change(),
                             server_rows_.newest_change());
   }
 
+  /// Polls until no request is in progress or `latest` has come, then ends the
+  /// remaining requests and calls `done`.
+  /// @param earliest the wait lasts at least until then
   void WaitForEnd(TimePoint earliest,
                   TimePoint latest,
                   std::function<void()> done) {
@@ -360,12 +368,13 @@
   std::unique_ptr<RelayServer> callers_;
   std::unique_ptr<RelayServer> readiness_;
   std::unique_ptr<RelayServer> metrics_;
-  /// What each peer has at each server.
+  /// Load of each peer on each server, by the name of the peer and the id of
+  /// the server.
   std::map<std::string,
            std::map<std::string, routing::ServerLoad, std::less<>>,
            std::less<>>
       peer_loads_;
-  /// What peers last told of their calls to the store.
+  /// Last reported state of each peer's contact to the store, by its name.
   std::map<std::string, StoreContact, std::less<>> store_contacts_;
   bool draining_ = false;
   TimerId maintenance_timer_;
--- a/packages/gateway/include/gentianroute/gateway/detail/request_attempt.h
+++ b/packages/gateway/include/gentianroute/gateway/detail/request_attempt.h
@@ -8,7 +8,7 @@
 
 namespace gentianroute::gateway {
 
-/// One try at one server.
+/// One attempt to have a request answered by a server.
 class RequestFlow::Attempt final : public RelayCallObserver {
  public:
   Attempt(RequestFlow& flow, RelayCall call) : flow_(&flow) {
@@ -16,7 +16,7 @@
   }
   ~Attempt() override { Cancel(); }
 
-  /// Closes the connection; nothing more is heard.
+  /// Closes the connection; no more callbacks follow.
   void Cancel() {
     if (RequestFlow* flow = std::exchange(flow_, nullptr)) {
       flow->services_.client.Cancel(id_);
--- a/packages/gateway/include/gentianroute/gateway/detail/request_limits.h
+++ b/packages/gateway/include/gentianroute/gateway/detail/request_limits.h
@@ -6,15 +6,17 @@
 
 #include "gentianroute/base/time.h"
 
-/// Figures that several parts of a request's way go by.
+/// Constants that several sources of RequestFlow use.
 namespace gentianroute::gateway::detail {
 
-/// What the server of a request takes beyond the stages, when nothing is known
-/// of it: one way to another region and back, and the first tokens.
+/// Assumed time from the end of the stages to the first byte of the answer,
+/// when nothing is known of the server: a round trip to another region, and the
+/// first tokens.
 inline constexpr Duration kTypicalAnswerTime = std::chrono::milliseconds(150);
-/// No server answers sooner.
+/// Lower bound on the answer time of any server.
 inline constexpr Duration kMinAnswerTime = std::chrono::milliseconds(20);
-/// Results that are lost again and again are not made for ever.
+/// Number of times that a request's lost stage results are computed again
+/// before it fails.
 inline constexpr std::uint32_t kMaxRecomputations = 2;
 
 }  // namespace gentianroute::gateway::detail
--- a/packages/gateway/include/gentianroute/gateway/gateway.h
+++ b/packages/gateway/include/gentianroute/gateway/gateway.h
@@ -12,10 +12,10 @@
 
 namespace gentianroute::gateway {
 
-/// @brief One daemon in front of the backend servers.
+/// @brief A gateway daemon, which routes callers' requests to backend servers.
 class Gateway {
  public:
-  /// @throws std::runtime_error if an address can't be used
+  /// @throws std::runtime_error if an address can't be bound
   Gateway(EventLoop& loop,
           GatewaySettings settings,
           RelayClient& client,
@@ -23,7 +23,9 @@
           Store& store);
   ~Gateway();
 
-  /// @brief Takes no new requests, ends those that it has, then calls back.
+  /// @brief Stops accepting requests, waits for the current ones to end, then
+  /// calls `done`. Requests that take longer than the drain grace are ended
+  /// with an error.
   void Drain(std::function<void()> done);
 
  private:
--- a/packages/gateway/include/gentianroute/gateway/group_outcome.h
+++ b/packages/gateway/include/gentianroute/gateway/group_outcome.h
@@ -10,14 +10,14 @@
 
 namespace gentianroute::gateway {
 
-/// @brief How a group ended that another daemon ran.
+/// @brief How a group of stage pieces ended.
 struct GroupOutcome {
-  std::optional<routing::StageFailure> failure;
+  std::optional<routing::StageFailure> failure;  ///< empty if it succeeded
   std::vector<std::string> results;
 };
 using GroupDone = std::function<void(GroupOutcome)>;
 
-/// @brief Work on a group that is dropped when the last holder lets go.
+/// @brief Handle of a submitted group; its destruction cancels the group.
 class GroupHandle {
  public:
   virtual ~GroupHandle() = default;
--- a/packages/gateway/include/gentianroute/gateway/pool_key.h
+++ b/packages/gateway/include/gentianroute/gateway/pool_key.h
@@ -6,7 +6,8 @@
 
 namespace gentianroute::gateway {
 
-/// @brief The servers of one stage service in one data centre.
+/// @brief Identifies the pool of servers of one stage service in one data
+/// centre.
 struct PoolKey {
   std::string service;
   std::string data_centre;
--- a/packages/gateway/include/gentianroute/gateway/request_flow.h
+++ b/packages/gateway/include/gentianroute/gateway/request_flow.h
@@ -30,7 +30,7 @@
 
 namespace gentianroute::gateway {
 
-/// @brief What the requests of one daemon share.
+/// @brief Objects that all requests of one daemon use.
 struct FlowServices {
   EventLoop& loop;
   RelayClient& client;
@@ -47,8 +47,11 @@
   const routing::DrainTimes& drain_times;
 };
 
-/// @brief One caller's request on its way through the stages to its server and
-/// back. Held by count by what is under way for it.
+/// @brief One caller's request: runs its stages, sends it to a backend server
+/// and relays the answer.
+///
+/// Reference-counted: it owns itself until it has been answered, and callbacks
+/// in progress keep it alive until they return.
 class RequestFlow
     : public boost::intrusive_ref_counter<RequestFlow,
                                           boost::thread_unsafe_counter>,
@@ -60,15 +63,17 @@
       boost::intrusive::list<RequestFlow,
                              boost::intrusive::constant_time_size<false>>;
 
-  /// @brief Begins a request; it lives until it has been answered.
-  /// @param table null: no configuration is known yet
+  /// @brief Starts a request, which lives until it has been answered.
+  /// @param table null if no configuration is known yet
+  /// @param all list of the requests in progress, to which it is added
   static void Begin(FlowServices& services,
                     RelayExchangePtr exchange,
                     routing::RouteTablePtr table,
                     List& all);
   ~RequestFlow();
 
-  /// @brief The daemon ends: the request gets its answer now, and a true one.
+  /// @brief Ends the request because the daemon stops, with an answer that says
+  /// whether it may have run.
   void OnShutdown();
 
  private:
@@ -79,17 +84,23 @@
               routing::RouteTablePtr table,
               List& all);
 
-  /// Why a request can't begin; nothing if it can.
+  /// Checks whether the request can be accepted.
+  /// @return the error to refuse it with, if any
   std::optional<ErrorKind> Admit();
   std::optional<ErrorKind> CheckKey();
-  /// Refuses the request if its stages can't end while its caller waits.
+  /// Refuses the request if its stages have no servers or can't finish before
+  /// StagesDeadline().
   bool RefuseIfStagesLate();
-  /// Refuses a late request that this daemon may not live to answer.
+  /// Refuses the request if the daemon drains and may stop before the answer.
   bool RefuseIfDraining();
   void RecordAdmission();
   void Start();
+  /// Starts the stages that are ready, or sends the request to its server if
+  /// all are done.
   void Advance();
   void RunStage(std::uint32_t stage);
+  /// Locations and sizes of the results of some stages.
+  /// @param reading_pieces number of pieces that read them
   std::vector<routing::PlacedBytes> PlacedResults(
       std::span<const std::uint32_t> stages,
       std::uint32_t reading_pieces) const;
@@ -99,61 +110,80 @@
   void SendToServer();
   routing::ServerChoice ChooseServer() const;
   bool IsGeneration() const;
+  /// The request as it is sent to a server, head and body.
   std::string MessageFor(const routing::Server& server) const;
   void OnHead(const ServerAnswer& answer);
   void OnBody(std::string_view part);
   void OnAnswered();
+  /// Handles an answer that says that the server has not run the request.
   void OnNotRun(const ServerAnswer& answer);
   void OnAttemptFailure(RelayFailure failure);
-  /// Watches for the first part of an answer that does not come.
+  /// Starts the timer for the first byte of the answer of a repeatable request.
   void StartFirstByteTimer();
-  /// Judges the server some time from now, after its bytes have been read.
+  /// Calls `check` after a time, once the sockets have been read (see
+  /// routing::kSocketReadGrace).
   void CheckAfter(Duration wait, void (RequestFlow::*check)());
   void OnFirstByteOverdue();
-  /// Time since the request was sent, without the way there and back.
+  /// Time since the request was sent, less the round trip.
   Duration TimeAtServer(TimePoint now) const;
-  /// The server has begun to answer; its pace is learnt from that.
+  /// Handles the first byte of a streamed body from the current server: updates
+  /// the service time estimate and releases the stage results.
   void OnFirstByte();
-  /// Watches a stream for a server that falls silent in the middle of it.
+  /// Starts the timer that detects a server that stops in the middle of a
+  /// stream.
   void StartSilenceTimer();
   void OnSilenceTimer();
+  /// Retries and, if that is possible, cancels the current attempt.
   void RetryAndCancel(std::string_view what, std::string_view reason);
-  /// The stages end too late for the caller to wait for the answer.
+  /// Refuses the request if its stages are not done by StagesDeadline().
   void OnStagesOverdue();
+  /// Reports a connection that broke during the request, a possible crash of
+  /// the server.
   void ReportCrash();
   bool CanRetry() const;
-  /// Sends again if the limits allow it.
+  /// Sends the request again if its attempts, the time left and the retry
+  /// budget allow it.
+  /// @param what kind of retry, a label of the metrics
   bool TryRetry(std::string_view what, std::string_view reason);
+  /// Makes a server the current one and adds the request to its load.
   void AssignServer(const routing::ServerPtr& server);
+  /// Removes the request from the load of its server, if it has one.
   void UnassignServer();
 
   void RelayPart(std::string_view part);
+  /// Frees the storage of stage results that are no longer needed.
   void ReleaseResults(std::vector<routing::StageResults> unneeded);
 
+  /// Answers with an error. If the request may have run and the error says
+  /// otherwise, or the answer has begun, it is ended by Fail() instead.
   void Refuse(ErrorKind kind, std::string_view detail);
   void Refuse(ErrorKind kind,
               std::string_view detail,
               std::optional<Duration> retry_after);
+  /// Ends a request that may have run: aborts its answer if that has begun,
+  /// otherwise answers that the outcome is unknown.
   void Fail(std::string_view detail);
   void OnTimeout();
   void OnCallerDisconnect();
+  /// Records the end of the request and cancels all that is in progress for it.
+  /// @param status HTTP status of the answer; 0 if there is none
   void Finish(std::string_view outcome, int status, std::string_view detail);
 
   bool repeatable() const { return route_->MayRepeat(); }
   Duration TimeLeft() const;
-  /// The least that the request's own server takes.
+  /// Lower bound on the time that the request's server needs.
   Duration MinAnswerTime() const;
+  /// Number of tokens that the answer will probably have.
   double TokensExpected() const;
-  /// What the request's own server takes until the first part of its answer,
-  /// where nothing waits.
+  /// Expected time to the first byte from an idle server.
   Duration TypicalTimeToFirstByte() const;
-  /// When the stages must be done for the answer to be of use.
+  /// When the stages must be done for the answer to reach the caller in time.
   TimePoint StagesDeadline() const;
 
   FlowServices& services_;
   RelayExchangePtr exchange_;
   routing::RouteTablePtr table_;
-  Ptr self_;  ///< until it is answered
+  Ptr self_;  ///< keeps the request alive; null once it has been answered
   CallerRequest request_;
   const routing::Route* route_ = nullptr;
   const routing::Organisation* organisation_ = nullptr;
@@ -162,41 +192,45 @@
   Fingerprint fingerprint_;
   TimePoint started_at_{};
   TimePoint deadline_{};
-  double weight_ = 1;  ///< among the requests of its route
+  double weight_ = 1;  ///< relative to the other requests of its route
   TimerId deadline_timer_;
-  TimerId answer_timer_;
+  TimerId answer_timer_;  ///< for the first byte, then for silence
   TimerId stages_timer_;
 
   std::optional<routing::StagePlan> plan_;
   std::map<std::uint32_t, std::unique_ptr<GroupHandle>> running_stages_;
-  std::map<std::uint32_t, std::string>
-      result_data_centres_;  ///< data centre, by stage
-  /// Data centre of the server that will probably read the results.
+  /// Data centres of the results, by stage.
+  std::map<std::uint32_t, std::string> result_data_centres_;
   Duration expected_stage_time_{};
+  /// Data centre of the server that will probably read the results; empty if
+  /// no server was available at the start.
   std::string home_data_centre_;
-  std::uint32_t recomputations_ = 0;
-  TimePoint stages_done_at_{};
+  std::uint32_t recomputations_ = 0;  ///< after the loss of stage results
+  TimePoint stages_done_at_{};        ///< zero until then
 
   std::unique_ptr<Attempt> attempt_;
+  /// Earlier attempts, which may still be in a callback.
   std::vector<std::unique_ptr<Attempt>> old_attempts_;
-  routing::ServerPtr server_;
-  routing::ServerLoad placed_load_;
+  routing::ServerPtr server_;        ///< null if no attempt is in progress
+  routing::ServerLoad placed_load_;  ///< of this request, on `server_`
   TimePoint sent_at_{};
-  double pending_prefill_tokens_ =
-      0;              ///< tokens before the first event, others' too
-  double waves_ = 1;  ///< calls' work before the answer, its own too
-  std::vector<std::string> tried_;
-  std::uint32_t attempts_ = 0;  ///< that a server may have run or refused
+  /// Tokens that the server had to prefill for earlier requests when this one
+  /// was sent.
+  double pending_prefill_tokens_ = 0;
+  /// Result of routing::WavesAt() when the request was sent.
+  double waves_ = 1;
+  std::vector<std::string> tried_;  ///< ids of servers, in order
+  std::uint32_t attempts_ = 0;      ///< excludes those that were not sent
   bool may_have_run_ = false;
-  /// A server before the present one may have run it.
+  /// Whether a server before the current one may have run it.
   bool earlier_may_have_run_ = false;
-  TimePoint first_byte_at_{};
-  TimePoint last_byte_at_{};
+  TimePoint first_byte_at_{};  ///< zero until then
+  TimePoint last_byte_at_{};   ///< of a stream; zero before its first byte
 
   ServerAnswer answer_;
-  std::string body_;
-  bool answer_begun_ = false;
-  bool streaming_ = false;  ///< the present server has sent events
+  std::string body_;           ///< of an answer that is not streamed
+  bool answer_begun_ = false;  ///< a streamed answer to the caller
+  bool streaming_ = false;     ///< the current server has sent events
   routing::EventFramer events_;
 };
 
--- a/packages/gateway/include/gentianroute/gateway/request_recorder.h
+++ b/packages/gateway/include/gentianroute/gateway/request_recorder.h
@@ -15,65 +15,69 @@
 
 namespace gentianroute::gateway {
 
-/// @brief How a request ended, and what decided it.
+/// @brief How a request ended.
 struct RequestEnd {
   std::string_view id;
   std::string_view route;
   std::string_view organisation;
   std::string_view service;
-  std::string_view server;  ///< the last one it was sent to
+  std::string_view server;  ///< the last one tried; empty if none
   std::string_view outcome;
   std::string_view detail;
   int status = 0;
-  std::uint32_t attempts = 0;
+  std::uint32_t attempts = 0;  ///< excludes those that were not sent
   std::uint64_t deployment_version = 0;
-  Duration stages_time{};         ///< until all stages were done
-  Duration time_to_first_byte{};  ///< until the first part of the answer
+  Duration stages_time{};  ///< until all stages were done; 0 if they were not
+  Duration time_to_first_byte{};  ///< 0 if there was no answer
   Duration total_time{};
   routing::RouteKind kind = routing::RouteKind::kIdempotent;
 };
 
-/// @brief What a request is about to go through, as far as is known then.
+/// @brief An accepted request, and the expectations of it.
 struct RequestAdmitted {
   std::string_view id;
   std::string_view route;
   std::string_view organisation;
   std::uint64_t deployment_version = 0;
-  std::string_view stage_pieces;  ///< as the caller gave them
   std::string_view
-      home_data_centre;  ///< data centre of the server that it wants
+      stage_pieces;  ///< numbers from the caller, separated by commas
+  /// Data centre of the server that it would be sent to now; empty if none.
+  std::string_view home_data_centre;
   Duration time_left{};
-  Duration expected_stage_time{};  ///< by the backlogs as they are known here
+  Duration expected_stage_time{};  ///< estimated from the backlogs
 };
 
-/// @brief One send of a request's own call.
+/// @brief One attempt to have a request answered by a server.
 struct RequestSent {
   std::string_view id;
   std::string_view server;
   std::string_view data_centre;
-  double server_calls = 0;   ///< there, of all daemons, as known here
-  double server_tokens = 0;  ///< memory that they take
-  double pending_prefill_tokens =
-      0;                  ///< prompt tokens that are read before its own
-  double own_tokens = 0;  ///< of its prompt, but for the shared parts
-  double uncached_shared_tokens =
-      0;                ///< shared tokens that may have to be read there
-  double score_ms = 0;  ///< lowest of all servers that may be used
+  double server_calls = 0;   ///< in flight at the server, from all daemons
+  double server_tokens = 0;  ///< memory that these calls need, in tokens
+  /// Tokens that the server has to prefill for earlier requests.
+  double pending_prefill_tokens = 0;
+  double own_tokens = 0;  ///< of its prompt, without the shared parts
+  /// Tokens of shared parts that the server may not have in its cache.
+  double uncached_shared_tokens = 0;
+  double score_ms = 0;  ///< score of the chosen server, the lowest of all
   Duration time_left{};
 };
 
-/// @brief Counts and logs what becomes of requests. Its labels are a closed
-/// set, so that callers can't make it grow.
+/// @brief Counts and logs the outcomes of requests. Metric labels come from a
+/// fixed set, so that callers can't make their number grow.
 class RequestRecorder {
  public:
   void OnAdmitted(const RequestAdmitted& admitted);
   void OnSent(const RequestSent& sent);
   void OnEnd(const RequestEnd& end);
-  /// @brief A request was sent once more, resumed, or its stage made again.
+  /// @brief Records that a request was retried or resumed, or that stages were
+  /// run again.
+  /// @param what kind of retry, a metric label
   void OnRetry(std::string_view id,
                std::string_view what,
                std::string_view server,
                std::string_view reason);
+  /// @brief Writes the metrics.
   void Write(MetricWriter& writer) const;
 
  private:
--- a/packages/gateway/include/gentianroute/gateway/result_releaser.h
+++ b/packages/gateway/include/gentianroute/gateway/result_releaser.h
@@ -13,11 +13,12 @@
 
 namespace gentianroute::gateway {
 
-/// @brief Tells stage servers which results nobody will read any more.
+/// @brief Tells stage servers which results nobody reads any more.
 ///
-/// A result takes up room at its maker until it is released or runs out after
-/// seconds; without releases a server of large results is full after a few
-/// calls and turns pieces away. Releases to one server share a call.
+/// A result occupies storage at the server that computed it until it is
+/// released or expires some seconds later. Without releases, a server with
+/// large results is full after a few calls and rejects pieces. Releases are
+/// batched per server.
 class ResultReleaser {
  public:
   ResultReleaser(EventLoop& loop,
--- a/packages/gateway/include/gentianroute/gateway/retry_budgets.h
+++ b/packages/gateway/include/gentianroute/gateway/retry_budgets.h
@@ -11,19 +11,26 @@
 
 namespace gentianroute::gateway {
 
-/// @brief This daemon's part of the retries that all daemons may send to a
-/// service: a share of its requests, and a part of a common slack.
+/// @brief This daemon's share of the retry budget of each service.
+///
+/// All daemons together may send as many retries as a given ratio of the
+/// service's requests, plus a burst that they divide equally.
 class RetryBudgets {
  public:
-  /// Kept back, so that daemons which see different numbers of each other
-  /// still keep the common bound.
+  /// Share of the budget that is used. The rest is a margin, which keeps the
+  /// total within the limit while daemons disagree about the number of daemons.
   static constexpr double kUsedShare = 0.7;
 
+  /// @param ratio retries per request
+  /// @param slack retries in a burst, of all daemons
   RetryBudgets(double ratio, double slack) : ratio_(ratio), slack_(slack) {}
 
+  /// @param daemons number of live daemons
   void OnRequest(std::string_view service, std::size_t daemons) {
     Of(service, daemons).OnSuccess();
   }
+  /// @brief Spends the budget for one retry.
+  /// @return false, with nothing spent, if the budget is exhausted
   bool TryTake(std::string_view service, std::size_t daemons) {
     return Of(service, daemons).TryTake();
   }
--- a/packages/gateway/include/gentianroute/gateway/settings.h
+++ b/packages/gateway/include/gentianroute/gateway/settings.h
@@ -11,23 +11,25 @@
 
 namespace gentianroute::gateway {
 
-/// @brief What one daemon has to know before it starts.
+/// @brief Settings of one daemon.
 struct GatewaySettings {
   std::string name;
   std::string data_centre;
-  /// Region of each data centre.
+  /// Regions, by data centre.
   std::map<std::string, std::string, std::less<>> regions;
-  Endpoint callers;    ///< where callers connect
-  Endpoint readiness;  ///< where the balancer asks
-  Endpoint peers;      ///< where other daemons connect; TCP and UDP
-  Endpoint metrics;
-  Endpoint store;
-  Duration drain_grace = std::chrono::seconds(8);  ///< from the stop signal
-  /// Time within which a change in the store has to hold here.
+  Endpoint callers;    ///< listens for callers
+  Endpoint readiness;  ///< listens for the load balancer
+  Endpoint peers;      ///< listens for other daemons; TCP and UDP
+  Endpoint metrics;    ///< listens for the collector of the metrics
+  Endpoint store;      ///< the platform's store
+  Duration drain_grace = std::chrono::seconds(8);  ///< after the stop signal
+  /// Maximum time until a change in the store takes effect in this daemon.
   Duration max_change_delay = std::chrono::milliseconds(2500);
-  double processor_share = 1;  ///< cores that this daemon may use
-  double retry_ratio = 0.2;    ///< of a service's requests, of all daemons
-  double retry_slack = 50;     ///< more, in each window of 10 s, of all daemons
+  double processor_share = 1;  ///< number of cores that this daemon may use
+  /// Maximum retries per request to a service, over all daemons.
+  double retry_ratio = 0.2;
+  /// Additional retries in each window of 10 s, over all daemons.
+  double retry_slack = 50;
 };
 
 }  // namespace gentianroute::gateway
--- a/packages/gateway/include/gentianroute/gateway/stage_router.h
+++ b/packages/gateway/include/gentianroute/gateway/stage_router.h
@@ -24,8 +24,8 @@
   std::string data_centre;  ///< of the servers that hold the results
 };
 
-/// @brief Hands the stages of this daemon's requests to the pools, here or at
-/// the daemons that schedule them.
+/// @brief Chooses pools for the stages of this daemon's requests, and submits
+/// them to the daemons that schedule the pools, which may be this one.
 class StageRouter {
  public:
   StageRouter(EventLoop& loop,
@@ -36,48 +36,54 @@
   ~StageRouter();
 
   void SetTable(routing::RouteTablePtr table) { table_ = std::move(table); }
+  /// @brief Handles a report of a pool's backlog from its scheduler.
   void OnBacklog(TimePoint now,
                  std::string_view service,
                  std::string_view data_centre,
                  routing::Backlog backlog);
 
   using Done = std::function<void(StageOutcome)>;
-  /// @param inputs where the inputs lie
-  /// @param reader_data_centre data centre of what reads the results, if known
-  /// @return let go of it to drop the work; `done` is not called then
+  /// @brief Runs one stage of a request.
+  /// @param inputs locations and sizes of the inputs
+  /// @param reader_data_centre data centre of the probable reader of the
+  /// results; empty if unknown
+  /// @return handle that cancels the work when it is destroyed; `done` is not
+  /// called then
   std::unique_ptr<GroupHandle> Run(std::string_view service,
                                    routing::StageGroup group,
                                    std::vector<routing::PlacedBytes> inputs,
                                    std::string_view reader_data_centre,
                                    Done done);
 
-  /// @brief Frees the room of results that nobody will read any more.
+  /// @brief Releases results that nobody reads any more.
   void Release(std::string_view service,
                std::string_view data_centre,
                std::vector<std::string> results);
 
-  /// @brief When all stages of a fresh plan would be done, from now.
+  /// @brief Estimated time until all stages of a new plan are done.
   Duration EstimatedTime(TimePoint now, const routing::StagePlan& plan);
-  /// @brief The least that the stages after this one take, without waiting.
+  /// @brief Minimum time of the stages after this one, without queueing.
   Duration MinTimeAfter(const routing::StagePlan& plan,
                         std::uint32_t stage) const;
-  /// @brief What the stages after this one take with full calls.
+  /// @brief Typical time of the stages after this one, with full calls.
   Duration TypicalTimeAfter(const routing::StagePlan& plan,
                             std::uint32_t stage) const;
-  /// @brief When the pools that the plan needs will have worked off what waits
-  /// now, late work too.
+  /// @brief Time until the pools that the plan needs have finished their
+  /// present backlogs, including groups that are late.
   Duration BacklogTime(TimePoint now, const routing::StagePlan& plan);
-  /// @brief Whether every service that the plan needs has a server.
+  /// @brief Whether every service that the plan needs has an open server.
   bool HasServers(const routing::StagePlan& plan) const;
 
-  /// @brief A daemon is gone: what it ran is handed out again.
+  /// @brief Submits the groups of a lost daemon again.
   void OnPeerGone(std::string_view peer);
 
  private:
   class RoutedGroup;
 
   void FlushReleases();
+  /// @return null if the service is not a stage service
   const routing::StageCapacity* CapacityOf(std::string_view service) const;
+  /// Pools of a service that have listed servers.
   std::vector<routing::PoolState> PoolsOf(TimePoint now,
                                           std::string_view service);
 
@@ -88,7 +94,7 @@
   const routing::Topology& topology_;
   routing::RouteTablePtr table_;
   routing::PoolStateTable pool_states_;
-  std::vector<RoutedGroup*> groups_;
+  std::vector<RoutedGroup*> groups_;  ///< unfinished; owned by the callers
   std::map<PoolKey, std::vector<std::string>> pending_releases_;
   TimerId release_timer_;
 };
--- a/packages/gateway/include/gentianroute/gateway/stage_scheduler.h
+++ b/packages/gateway/include/gentianroute/gateway/stage_scheduler.h
@@ -22,7 +22,7 @@
 namespace gentianroute::gateway {
 
 /// @brief Runs the stage pools that this daemon schedules, and sends their
-/// calls.
+/// calls to the stage servers.
 class StageScheduler {
  public:
   StageScheduler(EventLoop& loop,
@@ -34,18 +34,21 @@
 
   void SetTable(routing::RouteTablePtr table);
   /// @brief Runs a group in the pool of a service in a data centre.
-  /// @param done called once, later; never once the hold is let go
+  /// @param done called once, after Run() has returned, unless the handle is
+  /// destroyed before
+  /// @return handle that cancels the group when it is destroyed
   std::unique_ptr<GroupHandle> Run(std::string_view service,
                                    std::string_view data_centre,
                                    routing::StageGroup group,
                                    GroupDone done);
-  /// @brief Visits each pool that has had work here lately.
+  /// @brief Calls `visit` for each pool to which work was submitted recently.
   void ForEachPool(
       TimePoint now,
       const std::function<void(std::string_view service,
                                std::string_view data_centre,
                                routing::Backlog backlog)>& visit) const;
-  /// @brief Frees the room of results, in a pool's books and at their servers.
+  /// @brief Releases results that nobody reads any more, in the state of their
+  /// pool and at the servers that store them.
   void Release(std::string_view service,
                std::string_view data_centre,
                std::vector<std::string> results);
@@ -56,8 +59,11 @@
   class Handle;
   struct Pool;
 
+  /// @return null if the service is not a stage service
   Pool* PoolFor(std::string_view service, std::string_view data_centre);
+  /// Sends the calls that are due and schedules the next time.
   void Dispatch(Pool& pool);
+  /// Dispatches once the events at hand have been handled.
   void DispatchLater(Pool& pool);
   void Send(Pool& pool, const routing::StageCall& call);
   static void LogCall(const Pool& pool,
@@ -67,6 +73,7 @@
   void OnCallEnd(Pool& pool,
                  routing::StageCallId call,
                  const StageAnswer& answer);
+  /// Calls back for the groups that have ended and releases orphaned results.
   void DeliverFinished(Pool& pool);
   std::vector<routing::ServerPtr> ServersOf(const Pool& pool) const;
 
--- a/packages/gateway/include/gentianroute/gateway/start_queue.h
+++ b/packages/gateway/include/gentianroute/gateway/start_queue.h
@@ -10,19 +10,19 @@
 
 namespace gentianroute::gateway {
 
-/// @brief Requests that reach a daemon in the first moments of its life.
+/// @brief Queues requests that reach a daemon before it is configured.
 ///
-/// After all daemons of a data centre were lost, callers are back as soon as
-/// the sockets are. The configuration and the host list are known a tenth of a
-/// second later. Refused in between, each caller would have spent one of its
-/// few tries; so its request waits for that moment. When the store does not
-/// answer in time, what waits is refused, and what comes later at once.
+/// When all daemons of a data centre restart, callers reconnect as soon as the
+/// sockets are open, about 0.1 s before the configuration and the host list
+/// have been read. If a request were refused in this time, its caller would
+/// lose one of its few retries. If the store does not answer in time, the
+/// queued requests are refused, and later ones are refused at once.
 class StartQueue {
  public:
-  /// Bound on the wait. What takes longer is an outage, and nobody waits for
-  /// that.
+  /// Maximum time after the start of the daemon. A longer delay is an outage of
+  /// the store, for which requests are not kept waiting.
   static constexpr Duration kMaxWait = std::chrono::milliseconds(800);
-  /// Bound on what waits, for the memory that it takes.
+  /// Maximum number of queued requests, to limit their memory.
   static constexpr std::size_t kMaxRequests = 400;
 
   explicit StartQueue(TimePoint started) : started_(started) {}
@@ -30,12 +30,14 @@
   StartQueue(const StartQueue&) = delete;
   StartQueue& operator=(const StartQueue&) = delete;
 
-  /// @brief Keeps a request until the daemon is ready.
-  /// @return false if it is to be answered now
+  /// @brief Queues a request, which is removed if its caller disconnects.
+  /// @return false if it can't be queued and must be handled now
   bool TryPush(TimePoint now, const RelayExchangePtr& exchange);
-  /// @brief Whether what waits is to be taken out, ready or not.
+  /// @brief Whether the queue must be emptied even if the daemon is not
+  /// configured.
   bool IsTimedOut(TimePoint now) const { return now >= started_ + kMaxWait; }
-  /// @brief The request that has waited longest; null if none waits.
+  /// @brief Removes and returns the oldest request.
+  /// @return null if the queue is empty
   RelayExchangePtr Pop();
 
  private:
--- a/packages/gateway/include/gentianroute/gateway/translator.h
+++ b/packages/gateway/include/gentianroute/gateway/translator.h
@@ -18,60 +18,61 @@
 
 namespace gentianroute::gateway {
 
-/// @brief What a caller's request says, apart from its body.
+/// @brief Content of a caller's request, without its body.
 struct CallerRequest {
-  std::string id;  ///< of this try; a caller's next try has another
+  std::string id;  ///< of this attempt; a caller's retry has another
   std::string host;
   std::optional<Duration> timeout;  ///< how long the caller waits
-  std::optional<std::string> key;   ///< names the organisation
-  /// Whether a key came in a way that names nobody: twice, or empty.
+  std::optional<std::string> key;   ///< identifies the organisation
+  /// Whether the key is empty or was given more than once.
   bool has_invalid_key = false;
   routing::Prompt prompt;
   std::vector<std::uint32_t> stage_pieces;
-  std::string stage_key;         ///< what stages without inputs work on
-  std::string resume_after;      ///< last event that the caller has, if any
-  HttpHeaders forwarded_fields;  ///< fields that go to the server unchanged
+  std::string stage_key;     ///< stands in for inputs in stages without any
+  std::string resume_after;  ///< last event that the caller has; empty if none
+  HttpHeaders forwarded_fields;  ///< sent to the server unchanged
 };
 
-/// @brief What this daemon adds to a request for a backend server.
+/// @brief Data that this daemon adds to a request to a backend server.
 struct ServerRequest {
-  std::string expected_server;  ///< another one must not run it
-  std::optional<std::string> organisation;
+  std::string expected_server;  ///< id; any other server must refuse it
+  std::optional<std::string> organisation;  ///< empty if none is known
   Duration time_left{};
   std::vector<std::string> inputs;  ///< results of the stages
-  std::string resume_after;         ///< last event that went out
+  std::string resume_after;  ///< last event that the caller has; empty if none
 };
 
-/// @brief What the head of a server's answer says.
+/// @brief Content of the head of a server's answer.
 struct ServerAnswer {
   int status = 0;
-  bool not_run = false;  ///< the server has not run the request and won't
-  HttpHeaders forwarded_fields;  ///< fields that go to the caller
+  bool not_run = false;  ///< the server has not run the request, and won't
+  HttpHeaders forwarded_fields;  ///< sent to the caller
 };
 
-/// @brief What a call of stage pieces came back with.
+/// @brief Answer to a stage call.
 struct StageAnswer {
   routing::CallStatus status = routing::CallStatus::kBroken;
+  /// One for each piece if the call was answered, otherwise empty.
   std::vector<routing::PieceResult> results;
 };
 
-/// @brief One piece as it goes to a stage server.
+/// @brief One piece as it is sent to a stage server.
 struct StagePieceRequest {
   std::string_view request;
   std::uint32_t stage = 0;
   std::uint32_t segment = 0;
   Duration time_left{};
   std::string_view key;
-  std::span<const std::string> inputs;  ///< in place of the key, if any
+  std::span<const std::string> inputs;  ///< replace the key unless empty
 };
 
-/// @brief Turns what stands on the wire into the types above and back. It
-/// decides nothing; the platform's names stand only behind it.
+/// @brief Converts between the platform's wire formats and the types above.
+/// Names that are specific to the platform occur only in its implementations.
 class Translator {
  public:
   virtual ~Translator() = default;
 
-  /// @param error says what is wrong, if nothing is returned
+  /// @param error set to the reason if nothing is returned
   virtual std::optional<routing::Deployment> ReadDeployment(
       std::string_view row,
       std::string& error) const = 0;
@@ -81,32 +82,33 @@
       std::string& error) const = 0;
 
   virtual CallerRequest ReadRequest(const MessageHead& head) const = 0;
-  /// @brief Fields of the request as it goes to a server.
+  /// @brief Header fields of the request as it is sent to a server.
   virtual HttpHeaders ServerFields(const CallerRequest& caller,
                                    const ServerRequest& added) const = 0;
   virtual ServerAnswer ReadAnswer(const MessageHead& head) const = 0;
-  /// @brief Whether an answer is to the request with this id.
+  /// @brief Whether an answer belongs to the request with this id.
   virtual bool IsAnswerTo(const MessageHead& head,
                           std::string_view request) const = 0;
-  /// @brief Fields of an answer of our own to a caller.
+  /// @brief Header fields of an answer that this daemon generates.
   virtual HttpHeaders OwnAnswerFields(
       std::string_view request,
       std::optional<Duration> retry_after) const = 0;
 
-  /// @brief The whole call for some pieces, head and body.
+  /// @brief The complete stage call for some pieces, head and body.
   virtual std::string StageCallMessage(
       const Endpoint& server,
       std::string_view expected_server,
       std::span<const StagePieceRequest> pieces) const = 0;
   virtual StageAnswer ReadStageAnswer(const MessageHead& head,
                                       std::string_view body) const = 0;
-  /// @brief The server that holds a result.
+  /// @brief The server that stores a result.
+  /// @return no value if the result can't be parsed
   virtual std::optional<Endpoint> HolderOf(std::string_view result) const = 0;
   virtual std::string ReleaseMessage(
       const Endpoint& server,
       std::span<const std::string> results) const = 0;
 
-  /// @brief Whether the balancer asks if this daemon takes requests.
+  /// @brief Whether this is a readiness check of the load balancer.
   virtual bool IsReadinessCheck(const MessageHead& head) const = 0;
 };
 
--- a/packages/gateway/src/request_flow.cc
+++ b/packages/gateway/src/request_flow.cc
@@ -9,8 +9,7 @@
 #include "gentianroute/gateway/detail/request_attempt.h"
 #include "gentianroute/gateway/detail/request_limits.h"
 
-// From the arrival of a request to its answer: admission, time limits,
-// refusals.
+// Admission, time limits, refusal and end of a request.
 
 namespace gentianroute::gateway {
 namespace {
@@ -18,9 +17,11 @@
 using detail::kMinAnswerTime;
 using detail::kTypicalAnswerTime;
 
-/// Bounds on what callers are told to wait before they ask again.
+/// Bounds of the Retry-After field.
 constexpr Duration kMinRetryAfter = std::chrono::milliseconds(100);
-constexpr Duration kOverloadRetryAfter = std::chrono::milliseconds(300);
+/// For errors that callers may retry, unless the stage pools are busy for
+/// longer.
+constexpr Duration kDefaultRetryAfter = std::chrono::milliseconds(300);
 constexpr Duration kMaxRetryAfter = std::chrono::seconds(5);
 
 Fingerprint FingerprintOf(std::string_view key,
@@ -31,7 +32,7 @@
   return Fingerprint{XXH3_64bits_withSeed(body.data(), body.size(), hash)};
 }
 
-/// Uniform in [0, 1), the same for the same request.
+/// Maps an id to a uniformly distributed number in [0, 1).
 double HashToUnitInterval(std::string_view id) {
   constexpr double kHashRange = 18446744073709551616.0;  // 2^64
   return static_cast<double>(XXH3_64bits(id.data(), id.size())) / kHashRange;
@@ -175,7 +176,7 @@
                                       expected_stage_time_ + answer)) {
     return false;
   }
-  Refuse(ErrorKind::kShuttingDown, "the daemon stops before it could answer");
+  Refuse(ErrorKind::kShuttingDown, "the daemon will stop before it can answer");
   return true;
 }
 
@@ -203,7 +204,7 @@
 }
 
 TimePoint RequestFlow::StagesDeadline() const {
-  // The caller of a stream that goes on elsewhere waits from its last event.
+  // The caller of a resumed stream has been waiting since its last event.
   const TimePoint since = std::max(started_at_, last_byte_at_);
   const TimePoint first =
       since + route_->FirstByteTimeout() - kTypicalAnswerTime;
@@ -219,11 +220,11 @@
     Refuse(kind, detail, std::nullopt);
     return;
   }
-  // Who comes back sooner meets the same queue.
+  // A caller that retried before the backlog is done would meet the same queue.
   const Duration busy =
       plan_ ? services_.stage_router.BacklogTime(services_.loop.Now(), *plan_)
             : Duration{0};
-  Refuse(kind, detail, std::max(busy, kOverloadRetryAfter));
+  Refuse(kind, detail, std::max(busy, kDefaultRetryAfter));
 }
 
 void RequestFlow::Refuse(ErrorKind kind,
@@ -231,8 +232,9 @@
                          std::optional<Duration> retry_after) {
   const ErrorAnswer answer = AnswerFor(kind);
   const bool says_not_run = answer.work == ExecutionState::kNotRun;
-  // An answer in the middle of a stream is no answer, and "not run" has to be
-  // true: both come up when a broken run can't be made good.
+  // An error can't be sent in the middle of a stream, and must not claim that
+  // the request has not run if it may have. Both cases occur when a failed
+  // attempt can't be repeated.
   if (answer_begun_ || (says_not_run && may_have_run_)) {
     Fail(detail);
     return;
@@ -280,7 +282,7 @@
 }
 
 void RequestFlow::OnShutdown() {
-  Refuse(ErrorKind::kShuttingDown, "the daemon stops");
+  Refuse(ErrorKind::kShuttingDown, "the daemon is stopping");
 }
 
 void RequestFlow::OnCallerDisconnect() {
--- a/packages/gateway/src/request_flow_attempts.cc
+++ b/packages/gateway/src/request_flow_attempts.cc
@@ -7,7 +7,7 @@
 #include "gentianroute/loop/message_text.h"
 #include "gentianroute/routing/answer_watch.h"
 
-// A request at its server: sending it, its answer, and sending it once more.
+// Sending a request to a backend server, relaying its answer, and retries.
 
 namespace gentianroute::gateway {
 namespace {
@@ -19,12 +19,14 @@
 constexpr int kFirstServerErrorStatus = 500;
 constexpr int kConflict = 409;
 
-/// Share of a prompt that may be kept or not without falsifying what is learnt
-/// from its reading.
+/// An answer updates the estimate of the prefill time only if at most this
+/// share of its prompt may or may not have been cached.
 constexpr double kMaxUncertainShare = 0.25;
-/// Connections idle for longer are not used for what must run at most once: a
-/// server that closes just then leaves it open whether the request has run.
+/// Idle time after which a connection is not reused for requests that must run
+/// at most once: if the server closes it as idle while the request is on its
+/// way, it is unknown whether the request has run.
 constexpr Duration kMaxIdleNonRepeatable = std::chrono::milliseconds(1500);
+/// The same for repeatable requests.
 constexpr Duration kMaxIdleRepeatable = std::chrono::seconds(4);
 
 }  // namespace
@@ -74,7 +76,7 @@
 void RequestFlow::SendToServer() {
   const routing::ServerChoice choice = ChooseServer();
   if (choice.server == nullptr) {
-    Refuse(ErrorKind::kNoServer, "no server can take it");
+    Refuse(ErrorKind::kNoServer, "no server can accept the request");
     return;
   }
   tried_.push_back(choice.server->record().id);
@@ -118,8 +120,8 @@
   }
   const routing::ServiceTimeEstimate& estimate =
       services_.service_times.Of(service_name_);
-  // Whether the shared parts are kept is not sure; the wait allows for reading
-  // them.
+  // The shared parts may not be cached, so the timeout allows for their
+  // prefill.
   const Duration answer =
       IsGeneration() ? estimate.TimeToFirstEvent(pending_prefill_tokens_ +
                                                  request_.prompt.tokens_in)
@@ -214,7 +216,8 @@
   }
   server_->own().pending_prefill_tokens -= placed_load_.pending_prefill_tokens;
   placed_load_.pending_prefill_tokens = 0;
-  // The server has read the results by now; a resumed run makes them again.
+  // The server has read the stage results by now. A resumed stream recomputes
+  // them.
   ReleaseResults(plan_->TakeAll());
   if (repeatable()) {
     StartSilenceTimer();
@@ -238,7 +241,7 @@
   const Ptr keep(this);
   server_->history().OnConnectionFailure(now);
   events_.DropPartial();
-  RetryAndCancel("silent", "the server fell silent");
+  RetryAndCancel("silent", "the server stopped sending");
 }
 
 void RequestFlow::RelayPart(std::string_view part) {
@@ -277,8 +280,9 @@
   }
   UnassignServer();
   if (answer_begun_) {
-    // A resumed run was refused after events had gone out.
-    Fail("the server that should go on failed");
+    // The server refused to resume a stream that the caller has partly
+    // received.
+    Fail("the server failed to resume the stream");
     return;
   }
   if (failed && repeatable()) {
@@ -299,7 +303,7 @@
   if (answer.status == kConflict && ++recomputations_ <= kMaxRecomputations &&
       !answer_begun_) {
     services_.recorder.OnRetry(request_.id, "stage", server,
-                               "the results are gone");
+                               "the stage results no longer exist");
     UnassignServer();
     tried_.pop_back();
     ReleaseResults(
@@ -313,7 +317,7 @@
   if (TryRetry("refused", status)) {
     return;
   }
-  Refuse(ErrorKind::kOverloaded, "the server refused it: " + status);
+  Refuse(ErrorKind::kOverloaded, "the server refused the request: " + status);
 }
 
 void RequestFlow::OnAttemptFailure(RelayFailure failure) {
@@ -361,7 +365,7 @@
   old_attempts_.push_back(std::move(attempt_));
   if (plan_->FinalInputs().empty() && !route_->stages.empty() &&
       answer_begun_) {
-    // The results went when the first run had read them.
+    // The stage results were released after the first attempt had read them.
     ReleaseResults(
         plan_->RecomputeInputs(static_cast<std::uint32_t>(plan_->stages())));
     Advance();
--- a/packages/gateway/src/request_flow_stages.cc
+++ b/packages/gateway/src/request_flow_stages.cc
@@ -5,7 +5,7 @@
 #include "gentianroute/gateway/request_flow.h"
 #include "gentianroute/observe/log.h"
 
-// The stages of a request: which run when, and what becomes of their results.
+// Running the stages of a request and handling their results.
 
 namespace gentianroute::gateway {
 namespace {
@@ -41,7 +41,7 @@
   group.key = request_.stage_key;
   group.result_bytes = static_cast<double>(spec.result_bytes);
   group.work_class = route_->name + ":" + std::to_string(stage);
-  // What comes after this stage has to fit behind it.
+  // Both deadlines leave time for the stages and the answer that follow.
   group.soft_deadline = started_at_ + route_->target -
                         TypicalTimeToFirstByte() -
                         services_.stage_router.TypicalTimeAfter(*plan_, stage);
@@ -105,16 +105,17 @@
       Refuse(ErrorKind::kNoServer, "a stage has no server");
       return;
     case StageFailure::kFailed:
-      Refuse(ErrorKind::kNoServer, "a stage failed again and again");
+      Refuse(ErrorKind::kNoServer, "a stage failed too many times");
       return;
     case StageFailure::kInputGone:
       break;
   }
   if (++recomputations_ > kMaxRecomputations) {
-    Refuse(ErrorKind::kNoServer, "results of stages were lost again and again");
+    Refuse(ErrorKind::kNoServer, "stage results were lost too many times");
     return;
   }
-  services_.recorder.OnRetry(request_.id, "stage", "", "an input is gone");
+  services_.recorder.OnRetry(request_.id, "stage", "",
+                             "a stage input no longer exists");
   ReleaseResults(plan_->RecomputeInputs(stage));
   Advance();
 }
--- a/packages/gateway/src/request_recorder.cc
+++ b/packages/gateway/src/request_recorder.cc
@@ -10,7 +10,7 @@
 constexpr auto kRouteKindNames =
     std::to_array<std::string_view>({"idempotent", "non_idempotent", "stream"});
 
-/// Whether the caller got what it asked for, or left of its own will.
+/// Whether the request was answered or cancelled by its caller.
 bool IsExpectedOutcome(std::string_view outcome) {
   return outcome == "answered" || outcome == "caller_gone";
 }
--- a/packages/gateway/src/result_releaser.cc
+++ b/packages/gateway/src/result_releaser.cc
@@ -7,8 +7,8 @@
 namespace gentianroute::gateway {
 namespace {
 
-/// Releases within this time share a call. A server of large results is full
-/// after two calls, so it must be far below the time of a call.
+/// Releases are sent in batches with this period. It must be far below the time
+/// of a stage call, since a server with large results is full after two calls.
 constexpr Duration kReleasePeriod = std::chrono::milliseconds(20);
 constexpr Duration kCallTimeout = std::chrono::seconds(2);
 constexpr std::size_t kMaxResultsPerCall = 400;
@@ -51,7 +51,7 @@
   RelayCall call;
   call.endpoint = server;
   call.message = translator_.ReleaseMessage(server, results);
-  // A lost release costs room for some seconds only; it is not repeated.
+  // A failed release is not retried, since the results expire within seconds.
   fetches_.Start(std::move(call), kCallTimeout,
                  [](const RelayFetchResult& end) {
                    if (!end.complete) {
--- a/packages/gateway/src/stage_router.cc
+++ b/packages/gateway/src/stage_router.cc
@@ -9,17 +9,17 @@
 namespace gentianroute::gateway {
 namespace {
 
-/// After this many schedulers have broken off, this daemon calls the servers
-/// itself: a small direct share costs less than a request that waits on.
+/// After this many failed schedulers this daemon schedules the group itself:
+/// some smaller calls cost less than a longer delay of the request.
 constexpr std::uint32_t kMaxSchedulerAttempts = 2;
 
-/// Releases within this time share a message to the scheduler.
+/// Releases are sent to the schedulers in batches with this period.
 constexpr Duration kReleasePeriod = std::chrono::milliseconds(15);
 
 }  // namespace
 
-/// One group on its way: chooses a pool and its scheduler, and again if that
-/// one breaks off.
+/// One submitted group: chooses a pool, submits the group to the pool's
+/// scheduler, and starts again if the scheduler fails.
 class StageRouter::RoutedGroup final : public GroupHandle {
  public:
   RoutedGroup(StageRouter& router,
--- a/packages/gateway/src/stage_scheduler.cc
+++ b/packages/gateway/src/stage_scheduler.cc
@@ -8,14 +8,15 @@
 namespace gentianroute::gateway {
 namespace {
 
-/// A pool counts as scheduled here for this long after its last work; peers
-/// then go by its backlog.
+/// A pool's backlog is reported to the peers for this long after work was last
+/// submitted to it.
 constexpr Duration kPoolIdleTimeout = std::chrono::seconds(2);
-/// Below this a stage server's call can't end; it is not worth sending.
+/// Lower bound of the time limit of a piece; no stage server answers sooner.
 constexpr Duration kMinTimeLeft = std::chrono::milliseconds(1);
 
 }  // namespace
 
+/// A pool of stage servers, and the groups that were submitted to it.
 struct StageScheduler::Pool {
   Pool(std::string service_name,
        std::string data_centre_name,
@@ -27,7 +28,7 @@
   std::string service;
   std::string data_centre;
   routing::StagePool pool;
-  std::map<routing::StageGroupId, GroupDone> callbacks;
+  std::map<routing::StageGroupId, GroupDone> callbacks;  ///< unfinished groups
   TimePoint last_used_at{};
   TimerId timer;
   bool dispatch_scheduled = false;
@@ -107,7 +108,8 @@
   pool->last_used_at = now;
   const routing::StageGroupId id = pool->pool.Submit(now, std::move(group));
   pool->callbacks.emplace(id, std::move(done));
-  // Groups that come together, as those of one message, share the next call.
+  // Deferred, so that groups which arrive together, such as in one message, can
+  // share a call.
   DispatchLater(*pool);
   return std::make_unique<Handle>(*pool, id);
 }
@@ -149,9 +151,9 @@
   const routing::ServerRecord& server = call.server->record();
   RelayCall relay_call;
   relay_call.endpoint = {server.address, server.port};
-  // A server may send a second answer to a call, late. On a kept connection it
-  // would arrive as the answer to the next call, whose pieces then got another
-  // request's results; a stage answer bears no id that would tell.
+  // A server may send a second, late answer to a call. On a reused connection
+  // this would be taken for the answer to the next call, and its pieces would
+  // get another request's results, since a stage answer has no id.
   relay_call.max_idle = Duration{0};
   relay_call.keep_connection = false;
   relay_call.message =
@@ -168,7 +170,7 @@
 void StageScheduler::LogCall(const Pool& pool,
                              const routing::StageCall& call,
                              std::span<const StagePieceRequest> pieces) {
-  // One request's pieces follow each other.
+  // The pieces of one request are adjacent.
   std::string requests;
   std::string_view last;
   for (const StagePieceRequest& piece : pieces) {
--- a/packages/gateway/tests/start_queue_test.cc
+++ b/packages/gateway/tests/start_queue_test.cc
@@ -12,7 +12,7 @@
 constexpr TimePoint kStartTime = TimePoint{} + std::chrono::seconds(5);
 constexpr Duration kMillisecond = std::chrono::milliseconds(1);
 
-/// A caller's request that nobody answers here.
+/// A caller's request whose response is discarded.
 class FakeExchange final : public RelayExchange {
  public:
   void Respond(int, const HttpHeaders&, std::string_view) override {}
@@ -35,10 +35,10 @@
 
 }  // namespace
 
-// All daemons were lost. Callers are back with the sockets, a tenth of a second
-// before the daemon has read its configuration; refused then, each would have
-// spent one of its few tries. In the order in which they came, they are served
-// once it is known.
+// After a restart of all daemons, callers reconnect about 0.1 s before the
+// configuration has been read. If their requests were refused, each caller
+// would lose one of its few retries. They are served in the order of arrival
+// instead.
 Test(start_queue, requests_of_the_first_moments_come_out_in_order) {
   StartQueue queue(kStartTime);
   const FakePtr first = NewRequest();
@@ -50,8 +50,9 @@
   cr_assert(queue.Pop() == nullptr);
 }
 
-// The store is away as the daemon starts: callers learn at once that they have
-// to come back, and don't wait for an outage to end.
+// If the store is unavailable when the daemon starts, requests are refused at
+// once after the maximum wait, so that callers don't wait for the end of the
+// outage.
 Test(start_queue, request_after_the_first_moments_is_not_kept) {
   StartQueue queue(kStartTime);
   const TimePoint later = kStartTime + StartQueue::kMaxWait;
