--- a/packages/gateway/tests/start_queue_test.cc
+++ b/packages/gateway/tests/start_queue_test.cc
@@ -39,7 +39,7 @@
 // configuration has been read. If their requests were refused, each caller
 // would lose one of its few retries. They are served in the order of arrival
 // instead.
-Test(start_queue, requests_of_the_first_moments_come_out_in_order) {
+Test(start_queue, early_requests_are_popped_in_order) {
   StartQueue queue(kStartTime);
   const FakePtr first = NewRequest();
   const FakePtr second = NewRequest();
@@ -53,25 +53,25 @@
 // If the store is unavailable when the daemon starts, requests are refused at
 // once after the maximum wait, so that callers don't wait for the end of the
 // outage.
-Test(start_queue, request_after_the_first_moments_is_not_kept) {
+Test(start_queue, request_after_the_maximum_wait_is_rejected) {
   StartQueue queue(kStartTime);
   const TimePoint later = kStartTime + StartQueue::kMaxWait;
   cr_assert(queue.IsTimedOut(later));
   cr_assert_not(queue.TryPush(later, NewRequest()));
 }
 
-Test(start_queue, caller_that_leaves_is_forgotten) {
+Test(start_queue, request_of_disconnected_caller_is_removed) {
   StartQueue queue(kStartTime);
-  const FakePtr gone = NewRequest();
-  const FakePtr stays = NewRequest();
-  queue.TryPush(kStartTime, gone);
-  queue.TryPush(kStartTime, stays);
-  gone->Disconnect();
-  cr_assert(queue.Pop() == stays);
+  const FakePtr disconnected = NewRequest();
+  const FakePtr connected = NewRequest();
+  queue.TryPush(kStartTime, disconnected);
+  queue.TryPush(kStartTime, connected);
+  disconnected->Disconnect();
+  cr_assert(queue.Pop() == connected);
   cr_assert(queue.Pop() == nullptr);
 }
 
-Test(start_queue, no_more_than_its_bound_waits) {
+Test(start_queue, request_beyond_the_maximum_count_is_rejected) {
   StartQueue queue(kStartTime);
   for (std::size_t i = 0; i < StartQueue::kMaxRequests; ++i) {
     cr_assert(queue.TryPush(kStartTime, NewRequest()));
@@ -79,12 +79,12 @@
   cr_assert_not(queue.TryPush(kStartTime, NewRequest()));
 }
 
-Test(start_queue, end_of_the_daemon_lets_go_of_what_waits) {
-  const FakePtr waiting = NewRequest();
+Test(start_queue, destruction_releases_queued_requests) {
+  const FakePtr queued = NewRequest();
   {
     StartQueue queue(kStartTime);
-    queue.TryPush(kStartTime, waiting);
+    queue.TryPush(kStartTime, queued);
   }
-  cr_assert_eq(waiting->use_count(), 1);
-  waiting->Disconnect();
+  cr_assert_eq(queued->use_count(), 1);
+  queued->Disconnect();
 }
