--- a/packages/gateway/include/gentianroute/gateway/detail/gateway_impl.h
+++ b/packages/gateway/include/gentianroute/gateway/detail/gateway_impl.h
@@ -71,10 +71,10 @@
         stage_router_(loop, cluster_, stage_scheduler_, servers_, topology_),
         retry_budgets_(settings_.retry_ratio, settings_.retry_slack),
         start_queue_(loop.Now()),
-        services_{loop,           client,        translator, servers_,
-                  topology_,      stage_router_, cluster_,   retry_budgets_,
-                  service_times_, weights_,      suspects_,  recorder_,
-                  drain_} {
+        flow_context_{loop,           client,        translator, servers_,
+                      topology_,      stage_router_, cluster_,   retry_budgets_,
+                      service_times_, weights_,      suspects_,  recorder_,
+                      drain_} {
     servers_.SetOnClosed(
         [this](routing::Server& server) { OnServerClosed(server); });
     Listen();
@@ -165,7 +165,8 @@
     callers_ = std::make_unique<RelayServer>(
         loop_, std::move(callers), [this](RelayExchangePtr exchange) {
           if (is_configured() || !start_queue_.TryPush(loop_.Now(), exchange)) {
-            RequestFlow::Begin(services_, std::move(exchange), table_, flows_);
+            RequestFlow::Begin(flow_context_, std::move(exchange), table_,
+                               flows_);
           }
         });
     readiness_ = std::make_unique<RelayServer>(
@@ -201,7 +202,7 @@
       return;
     }
     while (RelayExchangePtr exchange = start_queue_.Pop()) {
-      RequestFlow::Begin(services_, std::move(exchange), table_, flows_);
+      RequestFlow::Begin(flow_context_, std::move(exchange), table_, flows_);
     }
   }
 
@@ -239,7 +240,8 @@
     ServeStartQueueLater();
   }
 
-  /// Serves the queue once the rows at hand have been applied.
+  /// Schedules ServeStartQueue() in the event loop, so that the rows being read
+  /// are applied first.
   void ServeStartQueueLater() {
     loop_.After(Duration{0}, [this] { ServeStartQueue(); });
   }
@@ -363,7 +365,7 @@
   routing::RequestWeights weights_;
   StartQueue start_queue_;
   routing::DrainTimes drain_;
-  FlowServices services_;
+  FlowContext flow_context_;
   RequestFlow::List flows_;
   std::unique_ptr<RelayServer> callers_;
   std::unique_ptr<RelayServer> readiness_;
--- a/packages/gateway/include/gentianroute/gateway/detail/request_attempt.h
+++ b/packages/gateway/include/gentianroute/gateway/detail/request_attempt.h
@@ -12,20 +12,20 @@
 class RequestFlow::Attempt final : public RelayCallObserver {
  public:
   Attempt(RequestFlow& flow, RelayCall call) : flow_(&flow) {
-    id_ = flow.services_.client.Call(std::move(call), *this);
+    id_ = flow.context_.client.Call(std::move(call), *this);
   }
   ~Attempt() override { Cancel(); }
 
   /// Closes the connection; no more callbacks follow.
   void Cancel() {
     if (RequestFlow* flow = std::exchange(flow_, nullptr)) {
-      flow->services_.client.Cancel(id_);
+      flow->context_.client.Cancel(id_);
     }
   }
 
   void OnHead(MessageHead head) override {
     const Ptr flow(flow_);
-    flow->OnHead(flow->services_.translator.ReadAnswer(head));
+    flow->OnHead(flow->context_.translator.ReadAnswer(head));
   }
   void OnBody(std::string_view part) override {
     const Ptr flow(flow_);
--- a/packages/gateway/include/gentianroute/gateway/request_flow.h
+++ b/packages/gateway/include/gentianroute/gateway/request_flow.h
@@ -31,7 +31,7 @@
 namespace gentianroute::gateway {
 
 /// @brief Objects that all requests of one daemon use.
-struct FlowServices {
+struct FlowContext {
   EventLoop& loop;
   RelayClient& client;
   const Translator& translator;
@@ -66,7 +66,7 @@
   /// @brief Starts a request, which lives until it has been answered.
   /// @param table null if no configuration is known yet
   /// @param all list of the requests in progress, to which it is added
-  static void Begin(FlowServices& services,
+  static void Begin(FlowContext& context,
                     RelayExchangePtr exchange,
                     routing::RouteTablePtr table,
                     List& all);
@@ -79,7 +79,7 @@
  private:
   class Attempt;
 
-  RequestFlow(FlowServices& services,
+  RequestFlow(FlowContext& context,
               RelayExchangePtr exchange,
               routing::RouteTablePtr table,
               List& all);
@@ -180,7 +180,7 @@
   /// When the stages must be done for the answer to reach the caller in time.
   TimePoint StagesDeadline() const;
 
-  FlowServices& services_;
+  FlowContext& context_;
   RelayExchangePtr exchange_;
   routing::RouteTablePtr table_;
   Ptr self_;  ///< keeps the request alive; null once it has been answered
--- a/packages/gateway/include/gentianroute/gateway/stage_scheduler.h
+++ b/packages/gateway/include/gentianroute/gateway/stage_scheduler.h
@@ -63,7 +63,8 @@
   Pool* PoolFor(std::string_view service, std::string_view data_centre);
   /// Sends the calls that are due and schedules the next time.
   void Dispatch(Pool& pool);
-  /// Dispatches once the events at hand have been handled.
+  /// Schedules one Dispatch() in the event loop, unless one is scheduled
+  /// already.
   void DispatchLater(Pool& pool);
   void Send(Pool& pool, const routing::StageCall& call);
   static void LogCall(const Pool& pool,
--- a/packages/gateway/include/gentianroute/gateway/translator.h
+++ b/packages/gateway/include/gentianroute/gateway/translator.h
@@ -20,7 +20,7 @@
 
 /// @brief Content of a caller's request, without its body.
 struct CallerRequest {
-  std::string id;  ///< of this attempt; a caller's retry has another
+  std::string id;  ///< a caller's retry has a new one
   std::string host;
   std::optional<Duration> timeout;  ///< how long the caller waits
   std::optional<std::string> key;   ///< identifies the organisation
@@ -62,8 +62,8 @@
   std::uint32_t stage = 0;
   std::uint32_t segment = 0;
   Duration time_left{};
-  std::string_view key;
-  std::span<const std::string> inputs;  ///< replace the key unless empty
+  std::string_view key;  ///< stands in for inputs in stages without any
+  std::span<const std::string> inputs;  ///< results that the piece reads
 };
 
 /// @brief Converts between the platform's wire formats and the types above.
--- a/packages/gateway/src/request_flow.cc
+++ b/packages/gateway/src/request_flow.cc
@@ -40,12 +40,12 @@
 
 }  // namespace
 
-void RequestFlow::Begin(FlowServices& services,
+void RequestFlow::Begin(FlowContext& context,
                         RelayExchangePtr exchange,
                         routing::RouteTablePtr table,
                         List& all) {
   const Ptr flow(
-      new RequestFlow(services, std::move(exchange), std::move(table), all));
+      new RequestFlow(context, std::move(exchange), std::move(table), all));
   flow->self_ = flow;
   if (const auto kind = flow->Admit()) {
     flow->Refuse(*kind, "");
@@ -54,14 +54,14 @@
   flow->Start();
 }
 
-RequestFlow::RequestFlow(FlowServices& services,
+RequestFlow::RequestFlow(FlowContext& context,
                          RelayExchangePtr exchange,
                          routing::RouteTablePtr table,
                          List& all)
-    : services_(services),
+    : context_(context),
       exchange_(std::move(exchange)),
       table_(std::move(table)),
-      request_(services.translator.ReadRequest(exchange_->head())),
+      request_(context.translator.ReadRequest(exchange_->head())),
       started_at_(exchange_->start_time()) {
   all.push_back(*this);
   exchange_->SetOnDisconnect([this] { OnCallerDisconnect(); });
@@ -88,9 +88,9 @@
   service_ = table_->FindService(service_name_);
   fingerprint_ = FingerprintOf(request_.key.value_or(""),
                                exchange_->head().target, exchange_->body());
-  const TimePoint now = services_.loop.Now();
-  if (services_.suspects.IsQuarantined(now, fingerprint_) ||
-      services_.suspects.IsQuarantinePending(now, fingerprint_)) {
+  const TimePoint now = context_.loop.Now();
+  if (context_.suspects.IsQuarantined(now, fingerprint_) ||
+      context_.suspects.IsQuarantinePending(now, fingerprint_)) {
     return ErrorKind::kOverloaded;
   }
   return std::nullopt;
@@ -114,17 +114,17 @@
   const Duration caller_timeout = request_.timeout.value_or(route_->timeout);
   deadline_ = started_at_ + std::min(caller_timeout, route_->timeout);
   if (IsGeneration()) {
-    weight_ = services_.weights.Of(route_->name, request_.prompt.tokens_in);
+    weight_ = context_.weights.Of(route_->name, request_.prompt.tokens_in);
   }
   plan_.emplace(route_->stages, request_.stage_pieces);
-  services_.retry_budgets.OnRequest(service_name_,
-                                    services_.cluster.live_daemons());
+  context_.retry_budgets.OnRequest(service_name_,
+                                   context_.cluster.live_daemons());
   if (RefuseIfStagesLate() || RefuseIfDraining()) {
     return;
   }
-  deadline_timer_ = services_.loop.At(deadline_, [this] { OnTimeout(); });
+  deadline_timer_ = context_.loop.At(deadline_, [this] { OnTimeout(); });
   stages_timer_ =
-      services_.loop.At(StagesDeadline(), [this] { OnStagesOverdue(); });
+      context_.loop.At(StagesDeadline(), [this] { OnStagesOverdue(); });
   if (const routing::ServerChoice choice = ChooseServer();
       choice.server != nullptr) {
     home_data_centre_ = choice.server->record().data_centre;
@@ -148,16 +148,16 @@
   admitted.home_data_centre = home_data_centre_;
   admitted.time_left = TimeLeft();
   admitted.expected_stage_time = expected_stage_time_;
-  services_.recorder.OnAdmitted(admitted);
+  context_.recorder.OnAdmitted(admitted);
 }
 
 bool RequestFlow::RefuseIfStagesLate() {
-  if (!services_.stage_router.HasServers(*plan_)) {
+  if (!context_.stage_router.HasServers(*plan_)) {
     Refuse(ErrorKind::kNoServer, "a stage has no server");
     return true;
   }
-  const TimePoint now = services_.loop.Now();
-  expected_stage_time_ = services_.stage_router.EstimatedTime(now, *plan_);
+  const TimePoint now = context_.loop.Now();
+  expected_stage_time_ = context_.stage_router.EstimatedTime(now, *plan_);
   if (now + expected_stage_time_ > StagesDeadline()) {
     Refuse(ErrorKind::kOverloaded, "the stages can't be done in time");
     return true;
@@ -167,13 +167,13 @@
 
 bool RequestFlow::RefuseIfDraining() {
   const routing::ServiceTimeEstimate& estimate =
-      services_.service_times.Of(service_name_);
+      context_.service_times.Of(service_name_);
   const Duration answer =
       IsGeneration() ? TypicalTimeToFirstByte() +
                            estimate.DecodeTime(request_.prompt.tokens_out)
                      : estimate.ServiceTime();
-  if (services_.drain_times.CanAccept(services_.loop.Now(),
-                                      expected_stage_time_ + answer)) {
+  if (context_.drain_times.CanAccept(context_.loop.Now(),
+                                     expected_stage_time_ + answer)) {
     return false;
   }
   Refuse(ErrorKind::kShuttingDown, "the daemon will stop before it can answer");
@@ -185,7 +185,7 @@
     return kMinAnswerTime;
   }
   const routing::ServiceTimeEstimate& estimate =
-      services_.service_times.Of(service_name_);
+      context_.service_times.Of(service_name_);
   return kMinAnswerTime + estimate.DecodeTime(TokensExpected());
 }
 
@@ -198,9 +198,9 @@
     return kTypicalAnswerTime;
   }
   const routing::ServiceTimeEstimate& estimate =
-      services_.service_times.Of(service_name_);
+      context_.service_times.Of(service_name_);
   return estimate.TimeToFirstEvent(request_.prompt.OwnTokens()) +
-         services_.topology.RoundTrip(home_data_centre_);
+         context_.topology.RoundTrip(home_data_centre_);
 }
 
 TimePoint RequestFlow::StagesDeadline() const {
@@ -212,7 +212,7 @@
 }
 
 Duration RequestFlow::TimeLeft() const {
-  return deadline_ - services_.loop.Now();
+  return deadline_ - context_.loop.Now();
 }
 
 void RequestFlow::Refuse(ErrorKind kind, std::string_view detail) {
@@ -222,7 +222,7 @@
   }
   // A caller that retried before the backlog is done would meet the same queue.
   const Duration busy =
-      plan_ ? services_.stage_router.BacklogTime(services_.loop.Now(), *plan_)
+      plan_ ? context_.stage_router.BacklogTime(context_.loop.Now(), *plan_)
             : Duration{0};
   Refuse(kind, detail, std::max(busy, kDefaultRetryAfter));
 }
@@ -244,7 +244,7 @@
   }
   exchange_->Respond(
       answer.http_status,
-      services_.translator.OwnAnswerFields(request_.id, retry_after),
+      context_.translator.OwnAnswerFields(request_.id, retry_after),
       ProblemBody(kind, detail, request_.id));
   Finish(answer.name, answer.http_status, detail);
 }
@@ -260,7 +260,7 @@
   constexpr int kBadGateway = 502;
   exchange_->Respond(
       kBadGateway,
-      services_.translator.OwnAnswerFields(request_.id, std::nullopt),
+      context_.translator.OwnAnswerFields(request_.id, std::nullopt),
       ProblemBody(kind, detail, request_.id));
   Finish(AnswerFor(kind).name, kBadGateway, detail);
 }
@@ -276,7 +276,7 @@
     return;
   }
   if (server_ != nullptr) {
-    server_->history().OnConnectionFailure(services_.loop.Now());
+    server_->history().OnConnectionFailure(context_.loop.Now());
   }
   Refuse(ErrorKind::kDeadlineExceeded, "the time limit passed", std::nullopt);
 }
@@ -296,10 +296,10 @@
   if (keep == nullptr) {
     return;
   }
-  const TimePoint now = services_.loop.Now();
-  services_.loop.Cancel(deadline_timer_);
-  services_.loop.Cancel(answer_timer_);
-  services_.loop.Cancel(stages_timer_);
+  const TimePoint now = context_.loop.Now();
+  context_.loop.Cancel(deadline_timer_);
+  context_.loop.Cancel(answer_timer_);
+  context_.loop.Cancel(stages_timer_);
   if (plan_) {
     ReleaseResults(plan_->TakeAll());
   }
@@ -323,7 +323,7 @@
                                : first_byte_at_ - started_at_;
   end.total_time = now - started_at_;
   end.kind = route_ == nullptr ? routing::RouteKind::kIdempotent : route_->kind;
-  services_.recorder.OnEnd(end);
+  context_.recorder.OnEnd(end);
   UnassignServer();
   running_stages_.clear();
   if (attempt_ != nullptr) {
--- a/packages/gateway/src/request_flow_attempts.cc
+++ b/packages/gateway/src/request_flow_attempts.cc
@@ -36,18 +36,18 @@
 }
 
 routing::ServerChoice RequestFlow::ChooseServer() const {
-  const TimePoint now = services_.loop.Now();
-  const auto& servers = services_.servers.ServersOf(service_name_);
+  const TimePoint now = context_.loop.Now();
+  const auto& servers = context_.servers.ServersOf(service_name_);
   const routing::ServiceTimeEstimate& estimate =
-      services_.service_times.Of(service_name_);
+      context_.service_times.Of(service_name_);
   if (IsGeneration()) {
     const auto inputs = PlacedResults(plan_->FinalStages(), 1);
     return routing::ChooseModelServer(now, servers, tried_, request_.prompt,
                                       inputs, *service_->model, estimate,
-                                      services_.topology);
+                                      context_.topology);
   }
   return routing::ChoosePlainServer(now, servers, tried_, estimate,
-                                    services_.topology);
+                                    context_.topology);
 }
 
 std::string RequestFlow::MessageFor(const routing::Server& server) const {
@@ -67,7 +67,7 @@
                        head.method == "DELETE");
   return SerialiseRequestHead(
              head.method, head.target,
-             services_.translator.ServerFields(request_, added),
+             context_.translator.ServerFields(request_, added),
              bodiless ? BodyFraming::kNone : BodyFraming::kLength,
              body.size()) +
          body;
@@ -86,7 +86,7 @@
   call.message = MessageFor(*choice.server);
   call.response_has_no_body = exchange_->head().method == "HEAD";
   call.max_idle = repeatable() ? kMaxIdleRepeatable : kMaxIdleNonRepeatable;
-  call.matches_response = [&translator = services_.translator,
+  call.matches_response = [&translator = context_.translator,
                            id = request_.id](const MessageHead& head) {
     return translator.IsAnswerTo(head, id);
   };
@@ -102,7 +102,7 @@
       choice.server->prompt_cache().UncachedSharedTokens(request_.prompt);
   sent.score_ms = choice.score_ms;
   sent.time_left = TimeLeft();
-  services_.recorder.OnSent(sent);
+  context_.recorder.OnSent(sent);
   AssignServer(choice.server);
   ++attempts_;
   may_have_run_ = true;
@@ -114,12 +114,12 @@
 }
 
 void RequestFlow::StartFirstByteTimer() {
-  services_.loop.Cancel(answer_timer_);
+  context_.loop.Cancel(answer_timer_);
   if (!repeatable()) {
     return;
   }
   const routing::ServiceTimeEstimate& estimate =
-      services_.service_times.Of(service_name_);
+      context_.service_times.Of(service_name_);
   // The shared parts may not be cached, so the timeout allows for their
   // prefill.
   const Duration answer =
@@ -128,22 +128,22 @@
                      : std::chrono::duration_cast<Duration>(
                            estimate.ServiceTime() * waves_);
   const Duration expected =
-      answer + services_.topology.RoundTrip(server_->record().data_centre);
+      answer + context_.topology.RoundTrip(server_->record().data_centre);
   CheckAfter(routing::FirstByteOverdueAfter(*route_, expected),
              &RequestFlow::OnFirstByteOverdue);
 }
 
 void RequestFlow::CheckAfter(Duration wait, void (RequestFlow::*check)()) {
-  answer_timer_ = services_.loop.After(wait, [this, check] {
-    answer_timer_ = services_.loop.After(routing::kSocketReadGrace,
-                                         [this, check] { (this->*check)(); });
+  answer_timer_ = context_.loop.After(wait, [this, check] {
+    answer_timer_ = context_.loop.After(routing::kSocketReadGrace,
+                                        [this, check] { (this->*check)(); });
   });
 }
 
 void RequestFlow::AssignServer(const routing::ServerPtr& server) {
   UnassignServer();
   server_ = server;
-  sent_at_ = services_.loop.Now();
+  sent_at_ = context_.loop.Now();
   pending_prefill_tokens_ = server_->pending_prefill_tokens();
   waves_ = routing::WavesAt(*server_);
   placed_load_.calls = 1;
@@ -164,8 +164,8 @@
 
 void RequestFlow::OnHead(const ServerAnswer& answer) {
   answer_ = answer;
-  server_->OnBytesReceived(services_.loop.Now());
-  services_.loop.Cancel(answer_timer_);
+  server_->OnBytesReceived(context_.loop.Now());
+  context_.loop.Cancel(answer_timer_);
   const bool streams = route_->kind == routing::RouteKind::kStream &&
                        answer.status < kFirstNonSuccessStatus &&
                        !answer.not_run;
@@ -180,7 +180,7 @@
     body_.append(part);
     return;
   }
-  last_byte_at_ = services_.loop.Now();
+  last_byte_at_ = context_.loop.Now();
   server_->OnBytesReceived(last_byte_at_);
   if (!streaming_) {
     streaming_ = true;
@@ -191,16 +191,16 @@
 
 Duration RequestFlow::TimeAtServer(TimePoint now) const {
   return now - sent_at_ -
-         services_.topology.RoundTrip(server_->record().data_centre);
+         context_.topology.RoundTrip(server_->record().data_centre);
 }
 
 void RequestFlow::OnFirstByte() {
-  const TimePoint now = services_.loop.Now();
+  const TimePoint now = context_.loop.Now();
   first_byte_at_ = first_byte_at_ == TimePoint{} ? now : first_byte_at_;
   const routing::Prompt& prompt = request_.prompt;
   const Duration taken = TimeAtServer(now);
   routing::ServiceTimeEstimate& estimate =
-      services_.service_times.Of(service_name_);
+      context_.service_times.Of(service_name_);
   const double prefill_tokens = pending_prefill_tokens_ + prompt.OwnTokens();
   const double uncertain = server_->prompt_cache().UncachedSharedTokens(prompt);
   server_->history().OnAnswer(
@@ -233,7 +233,7 @@
   if (server_ == nullptr) {
     return;
   }
-  const TimePoint now = services_.loop.Now();
+  const TimePoint now = context_.loop.Now();
   if (server_->HasReceivedSince(now - routing::StreamSilenceTimeout(*route_))) {
     StartSilenceTimer();
     return;
@@ -253,25 +253,25 @@
 }
 
 void RequestFlow::OnAnswered() {
-  const TimePoint now = services_.loop.Now();
+  const TimePoint now = context_.loop.Now();
   if (answer_.not_run) {
     OnNotRun(answer_);
     return;
   }
   if (answer_begun_ && answer_.status < kFirstNonSuccessStatus) {
-    services_.service_times.Of(service_name_)
+    context_.service_times.Of(service_name_)
         .OnStreamEnd(TokensExpected(), now - first_byte_at_);
     UnassignServer();
     exchange_->Write(events_.TakePartial());
     exchange_->End();
-    services_.suspects.OnAnswered(fingerprint_);
+    context_.suspects.OnAnswered(fingerprint_);
     Finish("answered", answer_.status, "");
     return;
   }
   const bool failed = answer_.status >= kFirstServerErrorStatus;
   const Duration taken = TimeAtServer(now);
   routing::ServiceTimeEstimate& estimate =
-      services_.service_times.Of(service_name_);
+      context_.service_times.Of(service_name_);
   server_->history().OnAnswer(
       now, !failed,
       Seconds(taken) / (Seconds(estimate.ServiceTime()) * waves_));
@@ -291,7 +291,7 @@
       return;
     }
   }
-  services_.suspects.OnAnswered(fingerprint_);
+  context_.suspects.OnAnswered(fingerprint_);
   exchange_->Respond(answer_.status, answer_.forwarded_fields, body_);
   first_byte_at_ = first_byte_at_ == TimePoint{} ? now : first_byte_at_;
   Finish(failed ? "server_failure" : "answered", answer_.status, "");
@@ -302,8 +302,8 @@
   const std::string server = server_->record().id;
   if (answer.status == kConflict && ++recomputations_ <= kMaxRecomputations &&
       !answer_begun_) {
-    services_.recorder.OnRetry(request_.id, "stage", server,
-                               "the stage results no longer exist");
+    context_.recorder.OnRetry(request_.id, "stage", server,
+                              "the stage results no longer exist");
     UnassignServer();
     tried_.pop_back();
     ReleaseResults(
@@ -311,7 +311,7 @@
     Advance();
     return;
   }
-  server_->history().OnConnectionFailure(services_.loop.Now());
+  server_->history().OnConnectionFailure(context_.loop.Now());
   UnassignServer();
   may_have_run_ = earlier_may_have_run_;
   if (TryRetry("refused", status)) {
@@ -321,16 +321,16 @@
 }
 
 void RequestFlow::OnAttemptFailure(RelayFailure failure) {
-  const TimePoint now = services_.loop.Now();
+  const TimePoint now = context_.loop.Now();
   const std::string server = server_->record().id;
   server_->history().OnConnectionFailure(now);
-  services_.loop.Cancel(answer_timer_);
+  context_.loop.Cancel(answer_timer_);
   if (failure == RelayFailure::kNotSent) {
-    services_.suspects.OnServerDown(now, server);
+    context_.suspects.OnServerDown(now, server);
     --attempts_;
     may_have_run_ = earlier_may_have_run_;
     UnassignServer();
-    services_.recorder.OnRetry(request_.id, "connect", server, "no connection");
+    context_.recorder.OnRetry(request_.id, "connect", server, "no connection");
     SendToServer();
     return;
   }
@@ -345,8 +345,8 @@
 }
 
 void RequestFlow::ReportCrash() {
-  services_.suspects.OnCrash(
-      services_.loop.Now(), server_->record().id,
+  context_.suspects.OnCrash(
+      context_.loop.Now(), server_->record().id,
       static_cast<std::uint64_t>(server_->record().started_at_unix_ms),
       {&fingerprint_, 1});
 }
@@ -356,12 +356,12 @@
 }
 
 bool RequestFlow::TryRetry(std::string_view what, std::string_view reason) {
-  const std::size_t daemons = services_.cluster.live_daemons();
-  if (!CanRetry() || !services_.retry_budgets.TryTake(service_name_, daemons)) {
+  const std::size_t daemons = context_.cluster.live_daemons();
+  if (!CanRetry() || !context_.retry_budgets.TryTake(service_name_, daemons)) {
     return false;
   }
-  services_.recorder.OnRetry(request_.id, what,
-                             tried_.empty() ? "" : tried_.back(), reason);
+  context_.recorder.OnRetry(request_.id, what,
+                            tried_.empty() ? "" : tried_.back(), reason);
   old_attempts_.push_back(std::move(attempt_));
   if (plan_->FinalInputs().empty() && !route_->stages.empty() &&
       answer_begun_) {
@@ -383,7 +383,7 @@
   if (!CanRetry()) {
     return;
   }
-  routing::RecordOverdue(services_.loop.Now(), sent_at_, *server_);
+  routing::RecordOverdue(context_.loop.Now(), sent_at_, *server_);
   RetryAndCancel("overdue", "no answer yet");
 }
 
--- a/packages/gateway/src/request_flow_stages.cc
+++ b/packages/gateway/src/request_flow_stages.cc
@@ -22,7 +22,7 @@
 
 void RequestFlow::Advance() {
   if (plan_->complete()) {
-    stages_done_at_ = services_.loop.Now();
+    stages_done_at_ = context_.loop.Now();
     SendToServer();
     return;
   }
@@ -44,15 +44,15 @@
   // Both deadlines leave time for the stages and the answer that follow.
   group.soft_deadline = started_at_ + route_->target -
                         TypicalTimeToFirstByte() -
-                        services_.stage_router.TypicalTimeAfter(*plan_, stage);
+                        context_.stage_router.TypicalTimeAfter(*plan_, stage);
   group.deadline =
-      StagesDeadline() - services_.stage_router.MinTimeAfter(*plan_, stage);
+      StagesDeadline() - context_.stage_router.MinTimeAfter(*plan_, stage);
   group.priority = organisation_ != nullptr && organisation_->priority
                        ? *organisation_->priority
                        : route_->priority;
   group.weight = weight_;
   plan_->Start(stage);
-  running_stages_[stage] = services_.stage_router.Run(
+  running_stages_[stage] = context_.stage_router.Run(
       spec.service, std::move(group),
       PlacedResults(spec.after, plan_->pieces(stage)), home_data_centre_,
       [this, stage](StageOutcome outcome) {
@@ -83,7 +83,7 @@
       .Field("stage", stage)
       .Field("data_centre", outcome.data_centre)
       .Field("outcome", NameOf(outcome.group.failure))
-      .Field("at_ms", WholeMilliseconds(services_.loop.Now() - started_at_));
+      .Field("at_ms", WholeMilliseconds(context_.loop.Now() - started_at_));
   if (outcome.group.failure) {
     OnStageFailure(stage, *outcome.group.failure);
     return;
@@ -114,17 +114,17 @@
     Refuse(ErrorKind::kNoServer, "stage results were lost too many times");
     return;
   }
-  services_.recorder.OnRetry(request_.id, "stage", "",
-                             "a stage input no longer exists");
+  context_.recorder.OnRetry(request_.id, "stage", "",
+                            "a stage input no longer exists");
   ReleaseResults(plan_->RecomputeInputs(stage));
   Advance();
 }
 
 void RequestFlow::ReleaseResults(std::vector<routing::StageResults> unneeded) {
   for (routing::StageResults& stage : unneeded) {
-    services_.stage_router.Release(plan_->spec(stage.stage).service,
-                                   result_data_centres_[stage.stage],
-                                   std::move(stage.results));
+    context_.stage_router.Release(plan_->spec(stage.stage).service,
+                                  result_data_centres_[stage.stage],
+                                  std::move(stage.results));
   }
 }
 
--- a/packages/gateway/src/stage_router.cc
+++ b/packages/gateway/src/stage_router.cc
@@ -10,7 +10,7 @@
 namespace {
 
 /// After this many failed schedulers this daemon schedules the group itself:
-/// some smaller calls cost less than a longer delay of the request.
+/// the smaller calls that result cost less than a longer delay of the request.
 constexpr std::uint32_t kMaxSchedulerAttempts = 2;
 
 /// Releases are sent to the schedulers in batches with this period.
