--- a/packages/gateway/include/gentianroute/gateway/gateway.h
+++ b/packages/gateway/include/gentianroute/gateway/gateway.h
@@ -23,9 +23,9 @@
           Store& store);
   ~Gateway();
 
-  /// @brief Stops accepting requests, waits for the current ones to end, then
-  /// calls `done`. Requests that take longer than the drain grace are ended
-  /// with an error.
+  /// @brief Shuts the daemon down: accepts requests until the load balancer has
+  /// stopped sending them, waits for the accepted ones to end, then calls
+  /// `done`. Those that outlast the drain grace are ended with an error.
   void Drain(std::function<void()> done);
 
  private:
--- a/packages/gateway/include/gentianroute/gateway/request_recorder.h
+++ b/packages/gateway/include/gentianroute/gateway/request_recorder.h
@@ -77,7 +77,6 @@
                std::string_view what,
                std::string_view server,
                std::string_view reason);
-  /// @brief Writes the metrics.
   void Write(MetricWriter& writer) const;
 
  private:
