--- a/packages/gateway/include/gentianroute/gateway/cluster.h
+++ b/packages/gateway/include/gentianroute/gateway/cluster.h
@@ -28,15 +28,16 @@
 namespace gentianroute::gateway {
 
 /// @brief Whether a beat tells what its daemon has at the backend servers.
-enum class Load : std::uint8_t { kTold, kLeftOut };
+enum class LoadReport : std::uint8_t { kIncluded, kOmitted };
 
 /// @brief What a daemon does with what its peers say and ask.
 class ClusterHandler {
  public:
   virtual ~ClusterHandler() = default;
   /// @brief Adds what peers should know, apart from who this daemon is.
-  virtual void FillBeat(schema::Beat::Builder beat, Load load) = 0;
-  virtual void OnBeat(schema::Beat::Reader beat) = 0;
+  virtual void FillHeartbeat(schema::Beat::Builder heartbeat,
+                             LoadReport load) = 0;
+  virtual void OnHeartbeat(schema::Beat::Reader heartbeat) = 0;
   /// @brief A peer is silent, or takes no connection.
   virtual void OnPeerGone(std::string_view peer) = 0;
   /// @brief Runs a group for a peer; `done` is called once unless the hold is
@@ -99,9 +100,9 @@
 
   /// @brief Whom news reaches at once; the others hear it from those, or with
   /// the next beat. A later kind includes those before it.
-  enum class News : std::uint8_t { kRumour, kToDataCentre };
+  enum class UpdateScope : std::uint8_t { kGossip, kDataCentre };
   /// @brief Tells peers at once what has changed here.
-  void TellNews(News news);
+  void SendUpdate(UpdateScope scope);
 
   /// @brief Asks a near peer that knows something newer for its copy. One
   /// question is under way at a time.
@@ -112,29 +113,30 @@
   class Service;
 
   void OnRows(const std::vector<DaemonState>& daemons);
-  void OnMessage(std::span<const std::byte> message);
-  void OnBeat(schema::Beat::Reader beat);
-  void OnLossTold(schema::LostDaemon::Reader lost, const std::string& told_by);
-  void OnArrival(const Membership::Peer& peer);
-  void OnBeatTime();
-  void BeatNow();
+  void OnDatagram(std::span<const std::byte> message);
+  void OnHeartbeat(schema::Beat::Reader heartbeat);
+  void OnLossReport(schema::LostDaemon::Reader lost,
+                    const std::string& told_by);
+  void OnPeerUp(const Membership::Peer& peer);
+  void RunHeartbeatRound();
+  void ScheduleHeartbeatNow();
   void Send(const Membership::Targets& targets);
-  kj::Array<kj::byte> BeatBytes(Load load, Duration next);
-  void SendNews(News news);
-  void Watch(TimePoint now);
+  kj::Array<kj::byte> EncodeHeartbeat(LoadReport load, Duration next);
+  void SendUpdateNow(UpdateScope scope);
+  void DetectLostPeers(TimePoint now);
   void OnUnreachable(const std::string& peer);
-  void OnGone(const std::string& peer);
+  void OnPeerLost(const std::string& peer);
 
   EventLoop& loop_;
   ClusterHandler& handler_;
   Membership members_;
   DaemonRows rows_;
   PeerCalls calls_;
-  bool news_due_ = false;
-  News news_ = News::kRumour;
+  bool update_pending_ = false;
+  UpdateScope update_scope_ = UpdateScope::kGossip;
   std::unique_ptr<DatagramSocket> datagrams_;
   std::unique_ptr<RpcServer> server_;
-  TimerId beat_timer_;
+  TimerId heartbeat_timer_;
 };
 
 }  // namespace gentianroute::gateway
--- a/packages/gateway/include/gentianroute/gateway/detail/gateway_impl.h
+++ b/packages/gateway/include/gentianroute/gateway/detail/gateway_impl.h
@@ -106,8 +106,8 @@
   }
 
   // What peers say and ask.
-  void FillBeat(schema::Beat::Builder beat, Load load) override;
-  void OnBeat(schema::Beat::Reader beat) override;
+  void FillHeartbeat(schema::Beat::Builder heartbeat, LoadReport load) override;
+  void OnHeartbeat(schema::Beat::Reader heartbeat) override;
   void OnPeerGone(std::string_view peer) override;
   std::unique_ptr<GroupHold> RunGroup(std::string_view service,
                                       std::string_view data_centre,
@@ -134,23 +134,23 @@
             },
             [this](const StoredRow& row) {
               OnDeploymentRow(row);
-              cluster_.TellNews(Cluster::News::kRumour);
+              cluster_.SendUpdate(Cluster::UpdateScope::kGossip);
             },
             [](bool /*answers*/) {},
-            [this] { cluster_.TellNews(Cluster::News::kToDataCentre); }};
+            [this] { cluster_.SendUpdate(Cluster::UpdateScope::kDataCentre); }};
   }
   StoreFollower::Listener ServersListener() {
     return {[this](const std::vector<StoredRow>& rows) { OnServerRows(rows); },
             [this](const StoredRow& row) {
               OnServerRow(row);
-              cluster_.TellNews(Cluster::News::kRumour);
+              cluster_.SendUpdate(Cluster::UpdateScope::kGossip);
             },
             [this](bool answers) {
               if (answers && server_rows_.known()) {
                 servers_.OnStoreRecovered(loop_.Now());
               }
             },
-            [this] { cluster_.TellNews(Cluster::News::kToDataCentre); }};
+            [this] { cluster_.SendUpdate(Cluster::UpdateScope::kDataCentre); }};
   }
 
   void Listen() {
--- a/packages/gateway/include/gentianroute/gateway/membership.h
+++ b/packages/gateway/include/gentianroute/gateway/membership.h
@@ -34,7 +34,7 @@
   std::vector<PoolKey> pools;    ///< that it schedules
   bool has_quarantined = false;  ///< knows of a request that crashes servers
   /// Within this the receiver hears it again; 0: it need not.
-  Duration next_beat{};
+  Duration heartbeat_interval{};
 };
 
 /// @brief The daemons of one deployment as one of them believes them to be, and
@@ -50,13 +50,17 @@
 class Membership {
  public:
   /// @brief How near another daemon is; the nearest first.
-  enum class Nearness : std::uint8_t { kDataCentre, kRegion, kElsewhere };
+  enum class Distance : std::uint8_t {
+    kSameDataCentre,
+    kSameRegion,
+    kOtherRegion
+  };
 
   struct Peer {
     DaemonState state;
-    TimePoint heard{};
+    TimePoint last_heartbeat{};
     bool alive = false;
-    Nearness nearness = Nearness::kElsewhere;
+    Distance distance = Distance::kOtherRegion;
   };
   using Targets = std::vector<const Peer*>;
 
@@ -70,7 +74,7 @@
   const DaemonState& own() const { return own_; }
   /// @brief What this daemon does for others, as far as it says how often they
   /// have to hear of it.
-  void SetDuties(std::vector<PoolKey> pools, bool has_quarantined);
+  void UpdateOwnState(std::vector<PoolKey> pools, bool has_quarantined);
   /// @brief Services whose pool in the own data centre a daemon of it
   /// schedules.
   void SetStageServices(std::vector<std::string> services);
@@ -89,51 +93,51 @@
   enum class Arrival : std::uint8_t { kKnown, kNew, kRestarted };
   /// @brief A peer's beat has come. One that is new or has restarted should be
   /// told that this daemon lives, if it IsToldOf() this daemon.
-  Arrival OnBeat(TimePoint now, DaemonState state);
+  Arrival OnHeartbeat(TimePoint now, DaemonState state);
 
   /// @brief A peer takes no connection, though its beats may be recent: its
   /// process has ended, or its host.
   /// @return whether it was taken for alive
   bool OnUnreachable(std::string_view name);
 
-  enum class Loss : std::uint8_t { kOldNews, kNews, kOfThisDaemon };
+  enum class LossReport : std::uint8_t { kStale, kNew, kAboutSelf };
   /// @brief Another daemon has lost one of its data centre. If that is this
   /// daemon, the next rounds tell everyone that it lives.
-  Loss OnLossTold(TimePoint now,
-                  std::string_view name,
-                  std::uint64_t incarnation);
+  LossReport OnLossReport(TimePoint now,
+                          std::string_view name,
+                          std::uint64_t incarnation);
 
   /// @brief A peer that has been silent for too long.
-  struct Lost {
+  struct LostPeer {
     std::string name;
-    Duration silent;
+    Duration silence;
   };
   /// @brief Finds peers that have become silent. If this daemon schedules a
   /// pool of one of them now, the next rounds tell everyone.
-  std::vector<Lost> Watch(TimePoint now);
+  std::vector<LostPeer> DetectLostPeers(TimePoint now);
 
   /// @brief Peers of the own data centre that were lost a short time ago, for
   /// those who hear of it from here only.
   Targets RecentlyLost(TimePoint now) const;
 
   /// @brief Whether a peer gets this daemon's beats.
-  bool IsToldOf(const Peer& peer) const;
+  bool SendsHeartbeatsTo(const Peer& peer) const;
   /// @brief Time until the next round of beats, and of watching.
   Duration UntilNextRound(TimePoint now) const;
   /// @brief Whom this round of beats goes to.
-  Targets BeatTargets(TimePoint now);
+  Targets HeartbeatTargets(TimePoint now);
   /// @brief Time from one beat to this peer to the next, at most; 0 if it gets
   /// none regularly, and is not to miss them.
-  Duration PeriodTo(const Peer& peer) const;
+  Duration HeartbeatIntervalTo(const Peer& peer) const;
   /// @brief Whom news goes to at once, chosen anew each time.
-  Targets RumourTargets();
+  Targets GossipTargets();
   /// @brief All known peers of the own data centre.
-  Targets DataCentre() const;
+  Targets DataCentrePeers() const;
   /// @brief All known peers.
-  Targets Everyone() const;
+  Targets AllPeers() const;
   /// @brief Whether beats to a peer come often enough for what they say of load
   /// to be of use there.
-  bool TellsLoadTo(const Peer& peer) const;
+  bool SendsLoadTo(const Peer& peer) const;
 
   /// @brief The daemon that schedules a pool: the same in the eyes of all that
   /// see the same daemons.
@@ -144,11 +148,11 @@
   bool IsStoreReader() const;
   /// @brief The peer to ask for what is newer in the store; null if none has
   /// it.
-  const Peer* SourceOf(std::uint64_t deployment_version,
-                       std::uint64_t servers_version) const;
+  const Peer* StoreCopySource(std::uint64_t deployment_version,
+                              std::uint64_t servers_version) const;
 
   /// @brief Whether there are so few daemons that each may know all at once.
-  bool IsSmall() const;
+  bool IsSmallFleet() const;
   /// @brief Daemons that share what all have together, this one included. Those
   /// elsewhere count whether they are heard or not, as most keep silent there;
   /// so a share is rather too small than too large.
@@ -156,51 +160,53 @@
 
  private:
   /// Whom beats go to at one rate; the first three as in Nearness.
-  enum class Audience : std::uint8_t {
-    kDataCentre,
-    kRegion,
-    kElsewhere,
-    kHeirs
+  enum class RecipientClass : std::uint8_t {
+    kSameDataCentre,
+    kSameRegion,
+    kOtherRegion,
+    kStandbys
   };
-  static constexpr std::size_t kAudiences = 4;
+  static constexpr std::size_t kRecipientClasses = 4;
 
-  Peer& PeerNamed(const std::string& name);
+  Peer& FindOrAddPeer(const std::string& name);
   void SetState(Peer& peer, DaemonState state);
-  Nearness NearnessOf(std::string_view data_centre) const;
-  Duration PeriodOf(Audience audience, bool quiet) const;
-  Audience AudienceOf(const Peer& peer) const;
-  bool IsHeir(const Peer& peer) const;
+  Distance DistanceTo(std::string_view data_centre) const;
+  Duration IntervalOf(RecipientClass recipients, bool idle) const;
+  RecipientClass RecipientClassOf(const Peer& peer) const;
+  bool IsStandby(const Peer& peer) const;
   /// The best of all that live for a pool, the first its scheduler.
-  std::vector<std::string> Ranked(const PoolKey& pool, std::size_t most) const;
-  void FindHeirs();
+  std::vector<std::string> TopRanked(const PoolKey& pool,
+                                     std::size_t max_count) const;
+  void UpdateStandbys();
   /// Whether this daemon is one that those elsewhere have to know.
-  bool SpeaksForDataCentre(TimePoint now) const;
-  bool IsQuiet() const;
+  bool RepresentsDataCentre(TimePoint now) const;
+  bool IsIdle() const;
   bool MarkLost(Peer& peer);
   void OnLost(TimePoint now, const Peer& peer);
-  void OnChanged();
-  bool SucceedsOneOf(const Targets& lost) const;
+  void InvalidateRanks();
+  bool TakesOverFrom(const Targets& lost) const;
   /// Whether this daemon itself stood still and has not yet read what came.
-  bool HasStoodStill(TimePoint now);
+  bool WasSuspended(TimePoint now);
   /// Peers for which a predicate of one holds.
   template <typename Predicate>
-  Targets Where(Predicate holds) const;
-  void AddSome(Targets& targets, Targets from, std::size_t most);
+  Targets SelectPeers(Predicate predicate) const;
+  void AddRandom(Targets& targets, Targets from, std::size_t max_count);
 
   DaemonState own_;
   std::map<std::string, std::string, std::less<>> regions_;
   std::mt19937_64 random_;
   std::map<std::string, std::unique_ptr<Peer>, std::less<>> peers_;
-  std::array<std::int64_t, 3> counts_{};  ///< of peers, by nearness
-  std::array<TimePoint, kAudiences> due_{};
-  int rounds_to_everyone_ = 0;
+  std::array<std::int64_t, 3> peer_counts_{};  ///< of peers, by nearness
+  std::array<TimePoint, kRecipientClasses> next_round_at_{};
+  int broadcast_rounds_ = 0;
   TimePoint started_{};
   std::vector<std::string> stage_services_;
-  bool speaks_ = false;  ///< for its data centre, to those elsewhere
-  TimePoint watched_{};
-  TimePoint denied_{};  ///< its own loss
-  std::set<std::string, std::less<>> heirs_;
-  bool heirs_known_ = false;
+  bool represents_data_centre_ =
+      false;  ///< for its data centre, to those elsewhere
+  TimePoint last_check_{};
+  TimePoint last_denial_{};  ///< its own loss
+  std::set<std::string, std::less<>> standbys_;
+  bool standbys_valid_ = false;
   /// Peers of the own data centre, by the time of their loss.
   std::map<std::string, TimePoint, std::less<>> lost_at_;
   mutable std::map<PoolKey, std::string> schedulers_;
--- a/packages/gateway/include/gentianroute/gateway/peer_calls.h
+++ b/packages/gateway/include/gentianroute/gateway/peer_calls.h
@@ -31,9 +31,9 @@
   ~PeerCalls();
 
   /// @brief Makes the connection to a peer, unless it stands.
-  void Link(const DaemonState& peer);
+  void EnsureConnected(const DaemonState& peer);
   /// @brief Lets go of the connection: the peer is lost, or starts again.
-  void Unlink(std::string_view peer);
+  void Disconnect(std::string_view peer);
 
   /// @brief Hands a group to another daemon.
   /// @param done called once: with the outcome, or with nothing if the peer
@@ -67,10 +67,10 @@
     bool broken = false;
   };
 
-  schema::Cluster::Client Of(const DaemonState& peer);
+  schema::Cluster::Client ClientOf(const DaemonState& peer);
   void Connect(Connection& connection);
   void OnBroken(Connection& connection);
-  void SweepBroken();
+  void ReplaceBroken();
 
   EventLoop& loop_;
   OnUnreachable on_unreachable_;
--- a/packages/gateway/include/gentianroute/gateway/store_contact.h
+++ b/packages/gateway/include/gentianroute/gateway/store_contact.h
@@ -8,8 +8,8 @@
 /// @brief What a daemon knows of the store from its own calls.
 enum class StoreContact : std::uint8_t {
   kNotAsked,  ///< others ask it, and this daemon takes their copy
-  kAnswers,
-  kSilent,
+  kReachable,
+  kUnreachable,
 };
 
 }  // namespace gentianroute::gateway
--- a/packages/gateway/src/cluster.cc
+++ b/packages/gateway/src/cluster.cc
@@ -31,30 +31,31 @@
   return own;
 }
 
-std::vector<PoolKey> PoolsOf(schema::Beat::Reader beat) {
+std::vector<PoolKey> PoolsOf(schema::Beat::Reader heartbeat) {
   std::vector<PoolKey> pools;
-  for (const auto backlog : beat.getBacklogs()) {
+  for (const auto backlog : heartbeat.getBacklogs()) {
     pools.push_back({backlog.getService(), backlog.getDataCentre()});
   }
   return pools;
 }
 
-DaemonState StateOf(schema::Beat::Reader beat) {
+DaemonState StateOf(schema::Beat::Reader heartbeat) {
   DaemonState state;
-  state.name = beat.getDaemon();
-  state.incarnation = beat.getIncarnation();
-  state.address = beat.getAddress();
-  state.port = beat.getPort();
-  state.data_centre = beat.getDataCentre();
-  state.leaving = beat.getDraining();
-  state.processor_share = beat.getProcessorShare();
-  state.store = static_cast<StoreContact>(std::min<unsigned>(
-      beat.getStoreContact(), static_cast<unsigned>(StoreContact::kSilent)));
-  state.deployment_version = beat.getDeploymentVersion();
-  state.servers_version = beat.getServersVersion();
-  state.pools = PoolsOf(beat);
-  state.has_quarantined = beat.getQuarantined().size() > 0;
-  state.next_beat = std::chrono::milliseconds(beat.getNextMs());
+  state.name = heartbeat.getDaemon();
+  state.incarnation = heartbeat.getIncarnation();
+  state.address = heartbeat.getAddress();
+  state.port = heartbeat.getPort();
+  state.data_centre = heartbeat.getDataCentre();
+  state.leaving = heartbeat.getDraining();
+  state.processor_share = heartbeat.getProcessorShare();
+  state.store = static_cast<StoreContact>(
+      std::min<unsigned>(heartbeat.getStoreContact(),
+                         static_cast<unsigned>(StoreContact::kUnreachable)));
+  state.deployment_version = heartbeat.getDeploymentVersion();
+  state.servers_version = heartbeat.getServersVersion();
+  state.pools = PoolsOf(heartbeat);
+  state.has_quarantined = heartbeat.getQuarantined().size() > 0;
+  state.heartbeat_interval = std::chrono::milliseconds(heartbeat.getNextMs());
   return state;
 }
 
@@ -132,18 +133,18 @@
       calls_(loop, [this](const std::string& peer) { OnUnreachable(peer); }) {
   datagrams_ = std::make_unique<DatagramSocket>(
       loop_, settings.peers.address, settings.peers.port,
-      [this](std::span<const std::byte> message) { OnMessage(message); });
+      [this](std::span<const std::byte> message) { OnDatagram(message); });
   server_ = std::make_unique<RpcServer>(loop_, settings.peers.address,
                                         settings.peers.port,
                                         kj::heap<Service>(*this));
 }
 
 Cluster::~Cluster() {
-  loop_.Cancel(beat_timer_);
+  loop_.Cancel(heartbeat_timer_);
 }
 
 void Cluster::Start() {
-  OnBeatTime();
+  RunHeartbeatRound();
   rows_.Start();
 }
 
@@ -157,31 +158,31 @@
 
 void Cluster::AnnounceLeaving() {
   members_.Leave();
-  BeatNow();
+  ScheduleHeartbeatNow();
 }
 
-void Cluster::OnBeatTime() {
+void Cluster::RunHeartbeatRound() {
   const TimePoint now = loop_.Now();
-  Watch(now);
-  Send(members_.BeatTargets(now));
-  beat_timer_ =
-      loop_.After(members_.UntilNextRound(now), [this] { OnBeatTime(); });
+  DetectLostPeers(now);
+  Send(members_.HeartbeatTargets(now));
+  heartbeat_timer_ = loop_.After(members_.UntilNextRound(now),
+                                 [this] { RunHeartbeatRound(); });
 }
 
-void Cluster::BeatNow() {
-  loop_.Cancel(beat_timer_);
-  beat_timer_ = loop_.After(Duration{0}, [this] { OnBeatTime(); });
+void Cluster::ScheduleHeartbeatNow() {
+  loop_.Cancel(heartbeat_timer_);
+  heartbeat_timer_ = loop_.After(Duration{0}, [this] { RunHeartbeatRound(); });
 }
 
 void Cluster::Send(const Membership::Targets& targets) {
-  std::map<std::pair<Load, Duration>, kj::Array<kj::byte>> messages;
+  std::map<std::pair<LoadReport, Duration>, kj::Array<kj::byte>> messages;
   for (const Membership::Peer* peer : targets) {
-    const Load load =
-        members_.TellsLoadTo(*peer) ? Load::kTold : Load::kLeftOut;
-    const Duration next = members_.PeriodTo(*peer);
+    const LoadReport load = members_.SendsLoadTo(*peer) ? LoadReport::kIncluded
+                                                        : LoadReport::kOmitted;
+    const Duration next = members_.HeartbeatIntervalTo(*peer);
     kj::Array<kj::byte>& bytes = messages[{load, next}];
     if (bytes == nullptr) {
-      bytes = BeatBytes(load, next);
+      bytes = EncodeHeartbeat(load, next);
     }
     datagrams_->Send(
         peer->state.address, peer->state.port,
@@ -189,23 +190,23 @@
   }
 }
 
-kj::Array<kj::byte> Cluster::BeatBytes(Load load, Duration next) {
+kj::Array<kj::byte> Cluster::EncodeHeartbeat(LoadReport load, Duration next) {
   capnp::MallocMessageBuilder message;
-  auto beat = message.initRoot<schema::Beat>();
+  auto heartbeat = message.initRoot<schema::Beat>();
   const DaemonState& own = members_.own();
-  beat.setDaemon(own.name);
-  beat.setIncarnation(own.incarnation);
-  beat.setAddress(own.address);
-  beat.setPort(own.port);
-  beat.setDataCentre(own.data_centre);
-  beat.setDraining(own.leaving);
-  beat.setProcessorShare(static_cast<float>(own.processor_share));
-  beat.setNextMs(static_cast<std::uint32_t>(WholeMilliseconds(next)));
-  handler_.FillBeat(beat, load);
-  members_.SetDuties(PoolsOf(beat.asReader()),
-                     beat.asReader().getQuarantined().size() > 0);
+  heartbeat.setDaemon(own.name);
+  heartbeat.setIncarnation(own.incarnation);
+  heartbeat.setAddress(own.address);
+  heartbeat.setPort(own.port);
+  heartbeat.setDataCentre(own.data_centre);
+  heartbeat.setDraining(own.leaving);
+  heartbeat.setProcessorShare(static_cast<float>(own.processor_share));
+  heartbeat.setNextMs(static_cast<std::uint32_t>(WholeMilliseconds(next)));
+  handler_.FillHeartbeat(heartbeat, load);
+  members_.UpdateOwnState(PoolsOf(heartbeat.asReader()),
+                          heartbeat.asReader().getQuarantined().size() > 0);
   const auto lost = members_.RecentlyLost(loop_.Now());
-  auto out = beat.initLost(static_cast<unsigned>(lost.size()));
+  auto out = heartbeat.initLost(static_cast<unsigned>(lost.size()));
   for (unsigned i = 0; i < lost.size(); ++i) {
     out[i].setName(lost[i]->state.name);
     out[i].setIncarnation(lost[i]->state.incarnation);
@@ -213,109 +214,109 @@
   return Packed(message);
 }
 
-void Cluster::OnMessage(std::span<const std::byte> message) {
+void Cluster::OnDatagram(std::span<const std::byte> message) {
   const auto failed = kj::runCatchingExceptions([&] {
     kj::ArrayInputStream stream(kj::arrayPtr(
         reinterpret_cast<const kj::byte*>(message.data()), message.size()));
     capnp::PackedMessageReader reader(stream);
-    OnBeat(reader.getRoot<schema::Beat>());
+    OnHeartbeat(reader.getRoot<schema::Beat>());
   });
   if (failed != nullptr) {
     LogEvent("beat_unreadable", LogLevel::kWarning);
   }
 }
 
-void Cluster::OnBeat(schema::Beat::Reader beat) {
-  const std::string name = beat.getDaemon();
+void Cluster::OnHeartbeat(schema::Beat::Reader heartbeat) {
+  const std::string name = heartbeat.getDaemon();
   if (name.empty() || members_.IsSelf(name)) {
     return;
   }
-  const auto arrival = members_.OnBeat(loop_.Now(), StateOf(beat));
+  const auto arrival = members_.OnHeartbeat(loop_.Now(), StateOf(heartbeat));
   const Membership::Peer& peer = *members_.Find(name);
   if (arrival != Membership::Arrival::kKnown) {
-    OnArrival(peer);
+    OnPeerUp(peer);
   }
   // Work for a scheduler must find its link standing. Among few daemons each
   // may schedule; among many, those that do say so.
-  if (members_.IsSmall() || !peer.state.pools.empty()) {
-    calls_.Link(peer.state);
+  if (members_.IsSmallFleet() || !peer.state.pools.empty()) {
+    calls_.EnsureConnected(peer.state);
   }
-  for (const auto lost : beat.getLost()) {
-    OnLossTold(lost, name);
+  for (const auto lost : heartbeat.getLost()) {
+    OnLossReport(lost, name);
   }
-  handler_.OnBeat(beat);
+  handler_.OnHeartbeat(heartbeat);
 }
 
-void Cluster::OnLossTold(schema::LostDaemon::Reader lost,
-                         const std::string& told_by) {
+void Cluster::OnLossReport(schema::LostDaemon::Reader lost,
+                           const std::string& told_by) {
   const std::string name = lost.getName();
-  switch (members_.OnLossTold(loop_.Now(), name, lost.getIncarnation())) {
-    case Membership::Loss::kOldNews:
+  switch (members_.OnLossReport(loop_.Now(), name, lost.getIncarnation())) {
+    case Membership::LossReport::kStale:
       return;
-    case Membership::Loss::kNews:
+    case Membership::LossReport::kNew:
       LogEvent("peer_lost_elsewhere", LogLevel::kWarning)
           .Field("peer", name)
           .Field("told_by", told_by);
-      OnGone(name);
+      OnPeerLost(name);
       return;
-    case Membership::Loss::kOfThisDaemon:
+    case Membership::LossReport::kAboutSelf:
       LogEvent("loss_denied", LogLevel::kWarning).Field("told_by", told_by);
-      BeatNow();
+      ScheduleHeartbeatNow();
       return;
   }
 }
 
-void Cluster::OnArrival(const Membership::Peer& peer) {
+void Cluster::OnPeerUp(const Membership::Peer& peer) {
   LogEvent("peer_up")
       .Field("peer", peer.state.name)
       .Field("incarnation", peer.state.incarnation);
-  calls_.Unlink(peer.state.name);
+  calls_.Disconnect(peer.state.name);
   // It may have missed this daemon's last beat. Only it is told: telling all of
   // each newcomer costs the cube of their number when all start at once.
-  if (members_.IsToldOf(peer)) {
+  if (members_.SendsHeartbeatsTo(peer)) {
     Send({&peer});
   }
 }
 
-void Cluster::Watch(TimePoint now) {
-  for (const Membership::Lost& lost : members_.Watch(now)) {
+void Cluster::DetectLostPeers(TimePoint now) {
+  for (const Membership::LostPeer& lost : members_.DetectLostPeers(now)) {
     LogEvent("peer_down", LogLevel::kWarning)
         .Field("peer", lost.name)
-        .Field("silent_ms", Milliseconds(lost.silent));
-    OnGone(lost.name);
+        .Field("silent_ms", Milliseconds(lost.silence));
+    OnPeerLost(lost.name);
   }
 }
 
 void Cluster::OnUnreachable(const std::string& peer) {
   if (members_.OnUnreachable(peer)) {
     LogEvent("peer_unreachable", LogLevel::kWarning).Field("peer", peer);
-    OnGone(peer);
+    OnPeerLost(peer);
   }
 }
 
-void Cluster::OnGone(const std::string& peer) {
-  calls_.Unlink(peer);
+void Cluster::OnPeerLost(const std::string& peer) {
+  calls_.Disconnect(peer);
   handler_.OnPeerGone(peer);
 }
 
-void Cluster::TellNews(News news) {
-  news_ = std::max(news_, news);
-  if (std::exchange(news_due_, true)) {
+void Cluster::SendUpdate(UpdateScope scope) {
+  update_scope_ = std::max(update_scope_, scope);
+  if (std::exchange(update_pending_, true)) {
     return;
   }
   loop_.After(Duration{0}, [this] {
-    news_due_ = false;
-    SendNews(std::exchange(news_, News::kRumour));
+    update_pending_ = false;
+    SendUpdateNow(std::exchange(update_scope_, UpdateScope::kGossip));
   });
 }
 
-void Cluster::SendNews(News news) {
-  switch (news) {
-    case News::kRumour:
-      Send(members_.RumourTargets());
+void Cluster::SendUpdateNow(UpdateScope scope) {
+  switch (scope) {
+    case UpdateScope::kGossip:
+      Send(members_.GossipTargets());
       return;
-    case News::kToDataCentre:
-      Send(members_.DataCentre());
+    case UpdateScope::kDataCentre:
+      Send(members_.DataCentrePeers());
       return;
   }
 }
@@ -326,7 +327,7 @@
     return;
   }
   const Membership::Peer* source =
-      members_.SourceOf(deployment_version, servers_version);
+      members_.StoreCopySource(deployment_version, servers_version);
   if (source == nullptr) {
     return;
   }
--- a/packages/gateway/src/gateway_peers.cc
+++ b/packages/gateway/src/gateway_peers.cc
@@ -11,24 +11,25 @@
 namespace {
 
 /// Below this a load is nothing, after many additions and subtractions.
-constexpr double kLeastLoad = 0.5;
+constexpr double kMinReportedLoad = 0.5;
 
 }  // namespace
 
-void Gateway::Impl::FillBeat(schema::Beat::Builder beat, Load load) {
-  beat.setDeploymentVersion(deployment_.newest_change());
-  beat.setServersVersion(server_rows_.newest_change());
-  beat.setStoreContact(static_cast<std::uint8_t>(
+void Gateway::Impl::FillHeartbeat(schema::Beat::Builder heartbeat,
+                                  LoadReport load) {
+  heartbeat.setDeploymentVersion(deployment_.newest_change());
+  heartbeat.setServersVersion(server_rows_.newest_change());
+  heartbeat.setStoreContact(static_cast<std::uint8_t>(
       std::max(server_rows_.contact(), deployment_.contact())));
   std::vector<const routing::Server*> busy;
-  if (load == Load::kTold) {
+  if (load == LoadReport::kIncluded) {
     servers_.ForEach([&busy](routing::Server& server) {
-      if (server.own().calls > kLeastLoad) {
+      if (server.own().calls > kMinReportedLoad) {
         busy.push_back(&server);
       }
     });
   }
-  auto work = beat.initWork(static_cast<unsigned>(busy.size()));
+  auto work = heartbeat.initWork(static_cast<unsigned>(busy.size()));
   for (unsigned i = 0; i < busy.size(); ++i) {
     const routing::ServerLoad& own = busy[i]->own();
     work[i].setServer(busy[i]->record().id);
@@ -49,7 +50,7 @@
                       backlogs.push_back({service, data_centre, backlog});
                       stages_.OnBacklog(now, service, data_centre, backlog);
                     });
-  auto out = beat.initBacklogs(static_cast<unsigned>(backlogs.size()));
+  auto out = heartbeat.initBacklogs(static_cast<unsigned>(backlogs.size()));
   for (unsigned i = 0; i < backlogs.size(); ++i) {
     out[i].setService(std::string(backlogs[i].service));
     out[i].setDataCentre(std::string(backlogs[i].data_centre));
@@ -58,7 +59,8 @@
     out[i].setAllMs(static_cast<float>(Milliseconds(backlogs[i].backlog.all)));
   }
   const auto quarantined = suspects_.Quarantined(now);
-  auto list = beat.initQuarantined(static_cast<unsigned>(quarantined.size()));
+  auto list =
+      heartbeat.initQuarantined(static_cast<unsigned>(quarantined.size()));
   for (unsigned i = 0; i < quarantined.size(); ++i) {
     list[i].setFingerprint(quarantined[i].first.value);
     list[i].setRemainingMs(
@@ -66,12 +68,12 @@
   }
 }
 
-void Gateway::Impl::OnBeat(schema::Beat::Reader beat) {
+void Gateway::Impl::OnHeartbeat(schema::Beat::Reader heartbeat) {
   const TimePoint now = loop_.Now();
-  const std::string name = beat.getDaemon();
+  const std::string name = heartbeat.getDaemon();
   ForgetLoads(name);
   auto& loads = peer_loads_[name];
-  for (const auto work : beat.getWork()) {
+  for (const auto work : heartbeat.getWork()) {
     const routing::ServerLoad load{work.getCalls(), work.getTokens(),
                                    work.getUnreadTokens()};
     const std::string id = work.getServer();
@@ -80,21 +82,22 @@
       loads[id] = load;
     }
   }
-  for (const auto backlog : beat.getBacklogs()) {
+  for (const auto backlog : heartbeat.getBacklogs()) {
     const std::string service = backlog.getService();
     const std::string data_centre = backlog.getDataCentre();
     stages_.OnBacklog(now, service, data_centre,
                       {FromMilliseconds(backlog.getInTimeMs()),
                        FromMilliseconds(backlog.getAllMs())});
   }
-  for (const auto entry : beat.getQuarantined()) {
+  for (const auto entry : heartbeat.getQuarantined()) {
     suspects_.OnPeerQuarantine(
         now, Fingerprint{entry.getFingerprint()},
         std::chrono::milliseconds(entry.getRemainingMs()));
   }
-  const auto contact = static_cast<StoreContact>(beat.getStoreContact());
+  const auto contact = static_cast<StoreContact>(heartbeat.getStoreContact());
   const auto before = std::exchange(store_contacts_[name], contact);
-  if (before == StoreContact::kSilent && contact == StoreContact::kAnswers) {
+  if (before == StoreContact::kUnreachable &&
+      contact == StoreContact::kReachable) {
     servers_.OnStoreRecovered(now);
   }
   if (before != contact) {
--- a/packages/gateway/src/membership.cc
+++ b/packages/gateway/src/membership.cc
@@ -9,16 +9,16 @@
 namespace gentianroute::gateway {
 namespace {
 
-using detail::kBeatsOfSilence;
-using detail::kHeirPeriod;
-using detail::kLongestRound;
-using detail::kRoundsToEveryone;
+using detail::kBroadcastRounds;
+using detail::kMaxMissedHeartbeats;
+using detail::kMaxRoundInterval;
+using detail::kStandbyInterval;
 
 /// A round that comes so much later than it should tells of a process that was
 /// stopped or a host that froze.
-constexpr Duration kStandstill = std::chrono::milliseconds(300);
+constexpr Duration kSuspensionThreshold = std::chrono::milliseconds(300);
 /// Time in which a loss is told with each beat; some beats get lost.
-constexpr Duration kLossIsTold = std::chrono::seconds(3);
+constexpr Duration kLossReportTime = std::chrono::seconds(3);
 
 }  // namespace
 
@@ -36,8 +36,9 @@
   return found == peers_.end() ? nullptr : found->second.get();
 }
 
-void Membership::SetDuties(std::vector<PoolKey> pools, bool has_quarantined) {
-  heirs_known_ = heirs_known_ && pools == own_.pools;
+void Membership::UpdateOwnState(std::vector<PoolKey> pools,
+                                bool has_quarantined) {
+  standbys_valid_ = standbys_valid_ && pools == own_.pools;
   own_.pools = std::move(pools);
   own_.has_quarantined = has_quarantined;
 }
@@ -48,70 +49,70 @@
 
 void Membership::Leave() {
   own_.leaving = true;
-  rounds_to_everyone_ = kRoundsToEveryone;
-  OnChanged();
+  broadcast_rounds_ = kBroadcastRounds;
+  InvalidateRanks();
 }
 
-Membership::Peer& Membership::PeerNamed(const std::string& name) {
+Membership::Peer& Membership::FindOrAddPeer(const std::string& name) {
   auto& peer = peers_[name];
   if (peer == nullptr) {
     peer = std::make_unique<Peer>();
-    ++counts_[static_cast<std::size_t>(peer->nearness)];
+    ++peer_counts_[static_cast<std::size_t>(peer->distance)];
   }
   return *peer;
 }
 
 void Membership::SetState(Peer& peer, DaemonState state) {
-  --counts_[static_cast<std::size_t>(peer.nearness)];
-  peer.nearness = NearnessOf(state.data_centre);
-  ++counts_[static_cast<std::size_t>(peer.nearness)];
+  --peer_counts_[static_cast<std::size_t>(peer.distance)];
+  peer.distance = DistanceTo(state.data_centre);
+  ++peer_counts_[static_cast<std::size_t>(peer.distance)];
   peer.state = std::move(state);
 }
 
 Membership::Targets Membership::OnRows(std::span<const DaemonState> rows) {
-  Targets unheard;
+  Targets not_alive;
   for (const DaemonState& row : rows) {
-    Peer& peer = PeerNamed(row.name);
+    Peer& peer = FindOrAddPeer(row.name);
     if (!peer.alive) {
       SetState(peer, row);
-      unheard.push_back(&peer);
+      not_alive.push_back(&peer);
     }
   }
-  return unheard;
+  return not_alive;
 }
 
-Membership::Arrival Membership::OnBeat(TimePoint now, DaemonState state) {
-  Peer& peer = PeerNamed(state.name);
+Membership::Arrival Membership::OnHeartbeat(TimePoint now, DaemonState state) {
+  Peer& peer = FindOrAddPeer(state.name);
   const DaemonState& before = peer.state;
   const bool restarted = before.incarnation != state.incarnation;
   // One that will not be heard again can't be missed, so it is not relied on.
-  const bool is_relied_on =
-      state.next_beat > Duration{0} || state.data_centre == own_.data_centre;
-  const bool was_alive = std::exchange(peer.alive, is_relied_on);
+  const bool is_monitored = state.heartbeat_interval > Duration{0} ||
+                            state.data_centre == own_.data_centre;
+  const bool was_alive = std::exchange(peer.alive, is_monitored);
   if (was_alive != peer.alive || restarted || before.leaving != state.leaving ||
       before.processor_share != state.processor_share ||
       before.data_centre != state.data_centre) {
-    OnChanged();
+    InvalidateRanks();
   }
   lost_at_.erase(state.name);
   SetState(peer, std::move(state));
-  peer.heard = now;
+  peer.last_heartbeat = now;
   if (restarted) {
     return was_alive ? Arrival::kRestarted : Arrival::kNew;
   }
   return peer.alive && !was_alive ? Arrival::kNew : Arrival::kKnown;
 }
 
-void Membership::OnChanged() {
+void Membership::InvalidateRanks() {
   schedulers_.clear();
-  heirs_known_ = false;
+  standbys_valid_ = false;
 }
 
 bool Membership::MarkLost(Peer& peer) {
   if (!std::exchange(peer.alive, false)) {
     return false;
   }
-  OnChanged();
+  InvalidateRanks();
   return true;
 }
 
@@ -120,77 +121,77 @@
   return found != peers_.end() && MarkLost(*found->second);
 }
 
-Membership::Loss Membership::OnLossTold(TimePoint now,
-                                        std::string_view name,
-                                        std::uint64_t incarnation) {
+Membership::LossReport Membership::OnLossReport(TimePoint now,
+                                                std::string_view name,
+                                                std::uint64_t incarnation) {
   if (IsSelf(name)) {
     // All who missed it say so at once; one denial reaches all of them.
-    const bool denies =
-        incarnation == own_.incarnation && now - denied_ > kHeirPeriod;
-    if (!denies) {
-      return Loss::kOldNews;
+    const bool is_new_report = incarnation == own_.incarnation &&
+                               now - last_denial_ > kStandbyInterval;
+    if (!is_new_report) {
+      return LossReport::kStale;
     }
-    denied_ = now;
-    rounds_to_everyone_ = kRoundsToEveryone;
-    return Loss::kOfThisDaemon;
+    last_denial_ = now;
+    broadcast_rounds_ = kBroadcastRounds;
+    return LossReport::kAboutSelf;
   }
   const auto found = peers_.find(name);
   if (found == peers_.end()) {
-    return Loss::kOldNews;
+    return LossReport::kStale;
   }
   Peer& peer = *found->second;
   // Heard here since the teller began to miss it: it is back already.
   const bool heard_since =
-      now - peer.heard < kHeirPeriod * (kBeatsOfSilence - 1);
+      now - peer.last_heartbeat < kStandbyInterval * (kMaxMissedHeartbeats - 1);
   if (peer.state.incarnation != incarnation || heard_since) {
-    return Loss::kOldNews;
+    return LossReport::kStale;
   }
   if (!MarkLost(peer)) {
-    return Loss::kOldNews;
+    return LossReport::kStale;
   }
   OnLost(now, peer);
-  return Loss::kNews;
+  return LossReport::kNew;
 }
 
 void Membership::OnLost(TimePoint now, const Peer& peer) {
-  if (peer.nearness != Nearness::kDataCentre) {
+  if (peer.distance != Distance::kSameDataCentre) {
     return;
   }
   lost_at_[peer.state.name] = now;
-  if (SucceedsOneOf(RecentlyLost(now))) {
+  if (TakesOverFrom(RecentlyLost(now))) {
     // Daemons elsewhere hear too seldom from a scheduler to miss it soon.
-    rounds_to_everyone_ = kRoundsToEveryone;
+    broadcast_rounds_ = kBroadcastRounds;
   }
 }
 
-bool Membership::HasStoodStill(TimePoint now) {
-  const TimePoint before = std::exchange(watched_, now);
-  return now - before > kLongestRound + kStandstill;
+bool Membership::WasSuspended(TimePoint now) {
+  const TimePoint before = std::exchange(last_check_, now);
+  return now - before > kMaxRoundInterval + kSuspensionThreshold;
 }
 
-std::vector<Membership::Lost> Membership::Watch(TimePoint now) {
-  std::vector<Lost> lost;
-  if (HasStoodStill(now)) {
+std::vector<Membership::LostPeer> Membership::DetectLostPeers(TimePoint now) {
+  std::vector<LostPeer> lost;
+  if (WasSuspended(now)) {
     // The others' beats wait unread. Judged now, all would seem to be lost.
     for (const auto& [name, peer] : peers_) {
-      peer->heard = now;
+      peer->last_heartbeat = now;
     }
     return lost;
   }
   for (const auto& [name, peer] : peers_) {
-    const Duration promised = peer->state.next_beat;
-    if (!peer->alive || promised == Duration{0} ||
-        now - peer->heard <= promised * kBeatsOfSilence) {
+    const Duration interval = peer->state.heartbeat_interval;
+    if (!peer->alive || interval == Duration{0} ||
+        now - peer->last_heartbeat <= interval * kMaxMissedHeartbeats) {
       continue;
     }
     MarkLost(*peer);
-    lost.push_back({name, now - peer->heard});
+    lost.push_back({name, now - peer->last_heartbeat});
     OnLost(now, *peer);
   }
   return lost;
 }
 
-bool Membership::SucceedsOneOf(const Targets& lost) const {
+bool Membership::TakesOverFrom(const Targets& lost) const {
   return std::any_of(lost.begin(), lost.end(), [this](const Peer* peer) {
     const std::vector<PoolKey>& pools = peer->state.pools;
     return std::any_of(pools.begin(), pools.end(), [this](const PoolKey& pool) {
@@ -202,35 +203,36 @@
 Membership::Targets Membership::RecentlyLost(TimePoint now) const {
   Targets lost;
   for (const auto& [name, at] : lost_at_) {
-    if (now - at < kLossIsTold) {
+    if (now - at < kLossReportTime) {
       lost.push_back(Find(name));
     }
   }
   return lost;
 }
 
-Membership::Nearness Membership::NearnessOf(
+Membership::Distance Membership::DistanceTo(
     std::string_view data_centre) const {
   if (data_centre == own_.data_centre) {
-    return Nearness::kDataCentre;
+    return Distance::kSameDataCentre;
   }
   const auto own = regions_.find(own_.data_centre);
   const auto other = regions_.find(data_centre);
   const bool same_region = own != regions_.end() && other != regions_.end() &&
                            own->second == other->second;
-  return same_region ? Nearness::kRegion : Nearness::kElsewhere;
+  return same_region ? Distance::kSameRegion : Distance::kOtherRegion;
 }
 
-std::vector<std::string> Membership::Ranked(const PoolKey& pool,
-                                            std::size_t most) const {
+std::vector<std::string> Membership::TopRanked(const PoolKey& pool,
+                                               std::size_t max_count) const {
   const std::string key = pool.service + "/" + pool.data_centre;
   std::vector<std::pair<routing::SchedulerRank, const DaemonState*>> ranked;
   const auto add = [&](const DaemonState& state) {
-    const bool beside = state.data_centre == pool.data_centre;
-    const auto rank = state.leaving ? routing::SchedulerRank{}
-                                    : routing::SchedulerRank{
-                                          beside, state.processor_share,
-                                          RendezvousWeight(key, state.name)};
+    const bool is_beside_servers = state.data_centre == pool.data_centre;
+    const auto rank =
+        state.leaving
+            ? routing::SchedulerRank{}
+            : routing::SchedulerRank{is_beside_servers, state.processor_share,
+                                     RendezvousWeight(key, state.name)};
     ranked.emplace_back(rank, &state);
   };
   add(own_);
@@ -239,7 +241,7 @@
       add(peer->state);
     }
   }
-  const std::size_t count = std::min(most, ranked.size());
+  const std::size_t count = std::min(max_count, ranked.size());
   std::partial_sort(
       ranked.begin(), ranked.begin() + static_cast<std::ptrdiff_t>(count),
       ranked.end(),
@@ -256,7 +258,7 @@
   if (found != schedulers_.end()) {
     return found->second;
   }
-  return schedulers_.emplace(pool, Ranked(pool, 1).front()).first->second;
+  return schedulers_.emplace(pool, TopRanked(pool, 1).front()).first->second;
 }
 
 bool Membership::IsStoreReader() const {
@@ -266,16 +268,16 @@
     const Peer& peer = *entry.second;
     return peer.alive && !peer.state.leaving &&
            peer.state.data_centre == own_.data_centre &&
-           peer.state.store != StoreContact::kSilent &&
+           peer.state.store != StoreContact::kUnreachable &&
            RendezvousWeight(kKey, peer.state.name) > own;
   });
 }
 
-const Membership::Peer* Membership::SourceOf(
+const Membership::Peer* Membership::StoreCopySource(
     std::uint64_t deployment_version,
     std::uint64_t servers_version) const {
   const Peer* source = nullptr;
-  std::pair<Nearness, std::uint64_t> best;
+  std::pair<Distance, std::uint64_t> best;
   for (const auto& [name, peer] : peers_) {
     const bool newer = peer->state.deployment_version > deployment_version ||
                        peer->state.servers_version > servers_version;
@@ -284,7 +286,7 @@
     }
     // Of equally near ones each daemon takes another, so that all who have the
     // news hand it on, and not only the one that had it first.
-    const std::pair rank(peer->nearness, RendezvousWeight(own_.name, name));
+    const std::pair rank(peer->distance, RendezvousWeight(own_.name, name));
     if (source == nullptr || rank < best) {
       source = peer.get();
       best = rank;
@@ -297,7 +299,8 @@
   return 1 + static_cast<std::size_t>(std::count_if(
                  peers_.begin(), peers_.end(), [](const auto& entry) {
                    const Peer& peer = *entry.second;
-                   return peer.alive || peer.nearness != Nearness::kDataCentre;
+                   return peer.alive ||
+                          peer.distance != Distance::kSameDataCentre;
                  }));
 }
 
--- /dev/null
+++ b/packages/gateway/src/membership_heartbeats.cc
@@ -0,0 +1,215 @@
+#include <algorithm>
+
+#include "gentianroute/gateway/detail/membership_times.h"
+#include "gentianroute/gateway/membership.h"
+
+// Whom a daemon tells what, and how often.
+
+namespace gentianroute::gateway {
+namespace {
+
+using detail::kBroadcastRounds;
+using detail::kMaxRoundInterval;
+using detail::kStandbyInterval;
+
+/// How a daemon's beats to one audience are spaced: so many datagrams a second
+/// to all of it together, so that the cost of a daemon stays what it is however
+/// many there are.
+struct HeartbeatRate {
+  std::int64_t heartbeats_per_second = 0;
+  Duration min_interval{};
+};
+
+/// By nearness. Bytes between regions are billed by volume, and what a beat
+/// tells there is 20 ms old on arrival in any case.
+constexpr std::array<HeartbeatRate, 3> kRates = {{
+    {90, std::chrono::milliseconds(100)},
+    {30, std::chrono::milliseconds(100)},
+    {20, std::chrono::milliseconds(300)},
+}};
+/// A daemon that schedules nothing and knows of no request that crashes servers
+/// has little to tell another region: what it has at servers there.
+constexpr std::int64_t kIdleIntervalFactor = 3;
+/// The daemons of a data centre know each other so long after a start of all.
+/// Before, each would take itself for the one that schedules.
+constexpr Duration kDiscoveryTime = std::chrono::milliseconds(400);
+/// Heirs of a pool. One may be lost together with the scheduler.
+constexpr std::size_t kStandbyCount = 2;
+/// Whom a rumour reaches at once, of the own data centre and of the others.
+/// Each who hears it tells as many: of a thousand, less than one waits for a
+/// beat.
+constexpr std::size_t kGossipFanoutDataCentre = 8;
+constexpr std::size_t kGossipFanoutElsewhere = 2;
+/// Among few daemons everyone hears the news at once, and is linked to as soon
+/// as it is heard.
+constexpr std::size_t kSmallFleetPeers = 16;
+/// Load that was told longer ago belongs to requests that have ended.
+constexpr Duration kMaxLoadAge = std::chrono::seconds(2);
+/// Stands for a pool that each data centre has: so one daemon of it is known
+/// elsewhere also where there are no stage services, and the store's news can
+/// be had from there.
+constexpr std::string_view kNoService;
+
+}  // namespace
+
+Duration Membership::IntervalOf(RecipientClass recipients, bool idle) const {
+  if (recipients == RecipientClass::kStandbys) {
+    return kStandbyInterval;
+  }
+  const auto index = static_cast<std::size_t>(recipients);
+  const HeartbeatRate& rate = kRates[index];
+  const Duration interval = std::max(
+      rate.min_interval, Duration(std::chrono::seconds(1)) *
+                             peer_counts_[index] / rate.heartbeats_per_second);
+  const bool is_reduced = recipients == RecipientClass::kOtherRegion && idle;
+  return is_reduced ? interval * kIdleIntervalFactor : interval;
+}
+
+Membership::RecipientClass Membership::RecipientClassOf(
+    const Peer& peer) const {
+  return static_cast<RecipientClass>(peer.distance);
+}
+
+bool Membership::IsStandby(const Peer& peer) const {
+  return standbys_.contains(peer.state.name);
+}
+
+Duration Membership::HeartbeatIntervalTo(const Peer& peer) const {
+  if (IsStandby(peer)) {
+    return std::min(kStandbyInterval,
+                    IntervalOf(RecipientClassOf(peer), false));
+  }
+  const bool is_regular = peer.distance == Distance::kSameDataCentre ||
+                          represents_data_centre_ || SendsLoadTo(peer);
+  // Told as if this daemon were quiet: it may become so before the next beat.
+  return is_regular ? IntervalOf(RecipientClassOf(peer), true) : Duration{0};
+}
+
+bool Membership::SendsHeartbeatsTo(const Peer& peer) const {
+  return peer.distance == Distance::kSameDataCentre || !IsIdle() ||
+         SendsLoadTo(peer);
+}
+
+bool Membership::SendsLoadTo(const Peer& peer) const {
+  return IntervalOf(RecipientClassOf(peer), IsIdle()) <= kMaxLoadAge;
+}
+
+bool Membership::IsIdle() const {
+  return own_.pools.empty() && !own_.has_quarantined &&
+         !represents_data_centre_;
+}
+
+bool Membership::RepresentsDataCentre(TimePoint now) const {
+  if (now - started_ < kDiscoveryTime || own_.leaving) {
+    return false;
+  }
+  const auto is_first_for = [this](const std::string& service) {
+    return IsSelf(SchedulerOf({service, own_.data_centre}));
+  };
+  return is_first_for(std::string(kNoService)) ||
+         std::any_of(stage_services_.begin(), stage_services_.end(),
+                     is_first_for);
+}
+
+Duration Membership::UntilNextRound(TimePoint now) const {
+  Duration wait = broadcast_rounds_ > 0 ? kStandbyInterval : kMaxRoundInterval;
+  for (const TimePoint due : next_round_at_) {
+    wait = std::min(wait, std::max(Duration{0}, due - now));
+  }
+  return wait;
+}
+
+void Membership::UpdateStandbys() {
+  if (std::exchange(standbys_valid_, true)) {
+    return;
+  }
+  standbys_.clear();
+  for (const PoolKey& pool : own_.pools) {
+    for (const std::string& name : TopRanked(pool, 1 + kStandbyCount)) {
+      if (!IsSelf(name)) {
+        standbys_.insert(name);
+      }
+    }
+  }
+}
+
+template <typename Predicate>
+Membership::Targets Membership::SelectPeers(Predicate predicate) const {
+  Targets targets;
+  for (const auto& [name, peer] : peers_) {
+    if (predicate(*peer)) {
+      targets.push_back(peer.get());
+    }
+  }
+  return targets;
+}
+
+Membership::Targets Membership::HeartbeatTargets(TimePoint now) {
+  const bool represents = RepresentsDataCentre(now);
+  if (std::exchange(represents_data_centre_, represents) != represents) {
+    broadcast_rounds_ = kBroadcastRounds;
+  }
+  // Former heirs have to learn that they will hear less often.
+  const auto former = standbys_;
+  UpdateStandbys();
+  const bool is_broadcast = broadcast_rounds_ > 0;
+  std::array<bool, kRecipientClasses> is_due{};
+  for (std::size_t i = 0; i < kRecipientClasses; ++i) {
+    is_due[i] = is_broadcast || now >= next_round_at_[i];
+    if (is_due[i]) {
+      next_round_at_[i] =
+          now + IntervalOf(static_cast<RecipientClass>(i), IsIdle());
+    }
+  }
+  if (is_broadcast) {
+    --broadcast_rounds_;
+    return AllPeers();
+  }
+  const bool standbys_due =
+      is_due[static_cast<std::size_t>(RecipientClass::kStandbys)];
+  return SelectPeers([&](const Peer& peer) {
+    const bool is_standby = IsStandby(peer);
+    const bool round =
+        is_due[static_cast<std::size_t>(RecipientClassOf(peer))] &&
+        SendsHeartbeatsTo(peer);
+    return round || (is_standby && standbys_due) ||
+           is_standby != former.contains(peer.state.name);
+  });
+}
+
+void Membership::AddRandom(Targets& targets,
+                           Targets from,
+                           std::size_t max_count) {
+  std::shuffle(from.begin(), from.end(), random_);
+  from.resize(std::min(from.size(), max_count));
+  targets.insert(targets.end(), from.begin(), from.end());
+}
+
+bool Membership::IsSmallFleet() const {
+  return peers_.size() <= kSmallFleetPeers;
+}
+
+Membership::Targets Membership::GossipTargets() {
+  if (IsSmallFleet()) {
+    return AllPeers();
+  }
+  Targets targets;
+  AddRandom(targets, DataCentrePeers(), kGossipFanoutDataCentre);
+  AddRandom(targets, SelectPeers([](const Peer& peer) {
+              return peer.alive && peer.distance != Distance::kSameDataCentre;
+            }),
+            kGossipFanoutElsewhere);
+  return targets;
+}
+
+Membership::Targets Membership::DataCentrePeers() const {
+  return SelectPeers([](const Peer& peer) {
+    return peer.distance == Distance::kSameDataCentre;
+  });
+}
+
+Membership::Targets Membership::AllPeers() const {
+  return SelectPeers([](const Peer& /*peer*/) { return true; });
+}
+
+}  // namespace gentianroute::gateway
--- a/packages/gateway/src/peer_calls.cc
+++ b/packages/gateway/src/peer_calls.cc
@@ -15,9 +15,9 @@
 
 /// A copy over a narrow link that others use too takes most of a second; asked
 /// for again before it has come, it would take up the link twice.
-constexpr Duration kCopyTimeout = std::chrono::milliseconds(1500);
+constexpr Duration kStoreCopyTimeout = std::chrono::milliseconds(1500);
 /// One packet of the first try may have been lost.
-constexpr int kMostFailures = 2;
+constexpr int kMaxConnectFailures = 2;
 
 struct LogTaskErrors final : kj::TaskSet::ErrorHandler {
   void taskFailed(kj::Exception&& exception) override {
@@ -66,7 +66,7 @@
   loop_.Cancel(sweep_timer_);
 }
 
-void PeerCalls::Link(const DaemonState& peer) {
+void PeerCalls::EnsureConnected(const DaemonState& peer) {
   Connection& connection = connections_[peer.name];
   connection.peer = peer;
   if (connection.rpc == nullptr || connection.broken) {
@@ -74,7 +74,7 @@
   }
 }
 
-void PeerCalls::Unlink(std::string_view peer) {
+void PeerCalls::Disconnect(std::string_view peer) {
   const auto found = connections_.find(peer);
   if (found != connections_.end()) {
     connections_.erase(found);
@@ -94,16 +94,16 @@
       connection.rpc->was_connected() ? 0 : connection.failures + 1;
   // The connection must not be destroyed by its own callback.
   loop_.Cancel(sweep_timer_);
-  sweep_timer_ = loop_.After(Duration{0}, [this] { SweepBroken(); });
+  sweep_timer_ = loop_.After(Duration{0}, [this] { ReplaceBroken(); });
 }
 
-void PeerCalls::SweepBroken() {
+void PeerCalls::ReplaceBroken() {
   std::vector<std::string> unreachable;
   for (auto& [name, connection] : connections_) {
     if (!connection.broken) {
       continue;
     }
-    if (connection.failures < kMostFailures) {
+    if (connection.failures < kMaxConnectFailures) {
       Connect(connection);
     } else {
       unreachable.push_back(name);
@@ -115,8 +115,8 @@
   }
 }
 
-schema::Cluster::Client PeerCalls::Of(const DaemonState& peer) {
-  Link(peer);
+schema::Cluster::Client PeerCalls::ClientOf(const DaemonState& peer) {
+  EnsureConnected(peer);
   return connections_.find(peer.name)
       ->second.rpc->bootstrap()
       .castAs<schema::Cluster>();
@@ -129,7 +129,7 @@
     std::function<void(std::optional<GroupOutcome>)> done) {
   auto remote = std::make_unique<RemoteGroup>(std::move(done));
   const std::weak_ptr<RemoteGroup*> self = remote->self();
-  auto request = Of(peer).runGroupRequest();
+  auto request = ClientOf(peer).runGroupRequest();
   WriteGroup(loop_.Now(), pool.service, pool.data_centre, group,
              request.initGroup());
   kj::Promise<capnp::Response<schema::Cluster::RunGroupResults>> sent =
@@ -154,7 +154,7 @@
 void PeerCalls::Release(const DaemonState& peer,
                         const PoolKey& pool,
                         std::span<const std::string> results) {
-  auto request = Of(peer).releaseRequest();
+  auto request = ClientOf(peer).releaseRequest();
   request.setService(pool.service);
   request.setDataCentre(pool.data_centre);
   auto out = request.initResults(static_cast<unsigned>(results.size()));
@@ -171,13 +171,13 @@
     std::uint64_t servers_version,
     std::function<void(schema::StoreCopy::Reader)> done) {
   fetching_ = true;
-  auto request = Of(peer).storeCopyRequest();
+  auto request = ClientOf(peer).storeCopyRequest();
   request.setDeploymentVersion(deployment_version);
   request.setServersVersion(servers_version);
   auto timeout = kj::newPromiseAndFulfiller<void>();
   auto fulfiller = std::make_shared<kj::Own<kj::PromiseFulfiller<void>>>(
       kj::mv(timeout.fulfiller));
-  loop_.After(kCopyTimeout, [fulfiller] { (*fulfiller)->fulfill(); });
+  loop_.After(kStoreCopyTimeout, [fulfiller] { (*fulfiller)->fulfill(); });
   tasks_->add(
       request.send()
           .then([done = std::move(done)](auto response) {
--- a/packages/gateway/src/store_follower.cc
+++ b/packages/gateway/src/store_follower.cc
@@ -292,8 +292,8 @@
     return StoreContact::kNotAsked;
   }
   // One lost call is enough for another daemon to ask as well.
-  return answers_ && failures_ == 0 ? StoreContact::kAnswers
-                                    : StoreContact::kSilent;
+  return answers_ && failures_ == 0 ? StoreContact::kReachable
+                                    : StoreContact::kUnreachable;
 }
 
 void StoreFollower::OnAnswer() {
--- a/packages/gateway/tests/store_follower_test.cc
+++ b/packages/gateway/tests/store_follower_test.cc
@@ -120,9 +120,9 @@
   fixture.follower.Start();
   fixture.store.Answer({}, 7);
   cr_assert(2 * (fixture.store.longest_wait + kAnswerMargin) < kInForceWithin);
-  cr_assert(fixture.follower.contact() == StoreContact::kAnswers);
+  cr_assert(fixture.follower.contact() == StoreContact::kReachable);
   fixture.store.Give(StoreAnswer{});
-  cr_assert(fixture.follower.contact() == StoreContact::kSilent);
+  cr_assert(fixture.follower.contact() == StoreContact::kUnreachable);
   cr_assert_eq(fixture.silences, 1);
 }
 
--- a/packages/gateway/tests/virtual_fleet.h
+++ b/packages/gateway/tests/virtual_fleet.h
@@ -24,7 +24,7 @@
 inline constexpr TimePoint kStart = TimePoint{} + std::chrono::seconds(10);
 
 /// Stages have work so long after a start.
-inline constexpr Duration kFirstWork = std::chrono::milliseconds(800);
+inline constexpr Duration kTimeToFirstWork = std::chrono::milliseconds(800);
 
 /// Daemons on virtual time that tell each other who lives, as `Cluster` does
 /// over its sockets. Datagrams are late and get lost.
@@ -78,17 +78,17 @@
   /// In any order.
   void StartAll(std::int64_t within_ms = 300) {
     for (std::size_t i = 0; i < daemons_.size(); ++i) {
-      After(Draw(within_ms) * kMs, [this, i] { Start(i); });
+      After(RandomUpTo(within_ms) * kMs, [this, i] { Start(i); });
     }
   }
   /// Share of datagrams that get lost from now on.
-  void Lose(double share) { loss_ = share; }
+  void SetLossRate(double share) { loss_rate_ = share; }
   void Kill(std::size_t i) { daemons_[i].runs = false; }
   /// Stops for a time; what comes meanwhile is read after its timers.
   void Freeze(std::size_t i, Duration time) {
     daemons_[i].frozen_until = now_ + time;
   }
-  void Pass(Duration time) {
+  void AdvanceTime(Duration time) {
     const TimePoint end = now_ + time;
     while (!events_.empty() && events_.top().at <= end) {
       auto event = events_.top();
@@ -99,7 +99,7 @@
     now_ = end;
   }
 
-  Membership& Of(std::size_t i) { return *daemons_[i].members; }
+  Membership& MembershipOf(std::size_t i) { return *daemons_[i].members; }
   bool runs(std::size_t i) const { return daemons_[i].runs; }
   std::size_t size() const { return daemons_.size(); }
   TimePoint now() const { return now_; }
@@ -112,22 +112,22 @@
   std::size_t false_losses() const { return false_losses_; }
 
   /// Whether all that run name the same scheduler, one that runs.
-  bool AgreesOn(const PoolKey& pool) {
+  bool AgreeOnScheduler(const PoolKey& pool) {
     std::set<std::string> named;
     for (std::size_t i = 0; i < daemons_.size(); ++i) {
       if (daemons_[i].runs) {
-        named.insert(Of(i).SchedulerOf(pool));
+        named.insert(MembershipOf(i).SchedulerOf(pool));
       }
     }
     return named.size() == 1 && runs(IndexOf(*named.begin()));
   }
   /// Time until all agree, at most `limit`.
   Duration TimeToAgree(const PoolKey& pool, Duration limit) {
-    const TimePoint begun = now_;
-    while (!AgreesOn(pool) && now_ - begun < limit) {
-      Pass(50 * kMs);
+    const TimePoint started_at = now_;
+    while (!AgreeOnScheduler(pool) && now_ - started_at < limit) {
+      AdvanceTime(50 * kMs);
     }
-    return now_ - begun;
+    return now_ - started_at;
   }
 
  private:
@@ -152,8 +152,8 @@
     }
   };
 
-  std::int64_t Draw(std::int64_t most) {
-    return std::uniform_int_distribution<std::int64_t>(0, most)(random_);
+  std::int64_t RandomUpTo(std::int64_t max) {
+    return std::uniform_int_distribution<std::int64_t>(0, max)(random_);
   }
   void After(Duration time, std::function<void()> run) {
     events_.push({now_ + time, ++order_, std::move(run)});
@@ -175,17 +175,18 @@
             [this, i, incarnation] { Round(i, incarnation); });
       return;
     }
-    for (const Membership::Lost& lost : daemon.members->Watch(now_)) {
+    for (const Membership::LostPeer& lost :
+         daemon.members->DetectLostPeers(now_)) {
       false_losses_ += runs(IndexOf(lost.name)) ? 1 : 0;
     }
     std::vector<PoolKey> pools;
     const PoolKey pool{"stage", DataCentre(i)};
-    if (now_ - daemon.started > kFirstWork && !stage_services_.empty() &&
+    if (now_ - daemon.started > kTimeToFirstWork && !stage_services_.empty() &&
         daemon.members->IsSelf(daemon.members->SchedulerOf(pool))) {
       pools.push_back(pool);
     }
-    daemon.members->SetDuties(pools, false);
-    Send(i, daemon.members->BeatTargets(now_));
+    daemon.members->UpdateOwnState(pools, false);
+    Send(i, daemon.members->HeartbeatTargets(now_));
     After(daemon.members->UntilNextRound(now_),
           [this, i, incarnation] { Round(i, incarnation); });
   }
@@ -195,13 +196,14 @@
     std::map<Duration, std::shared_ptr<Message>> messages;
     for (const Membership::Peer* peer : targets) {
       ++daemon.sent;
-      const bool far = peer->nearness == Membership::Nearness::kElsewhere;
-      if (std::bernoulli_distribution(loss_)(random_)) {
+      const bool far = peer->distance == Membership::Distance::kOtherRegion;
+      if (std::bernoulli_distribution(loss_rate_)(random_)) {
         continue;
       }
-      auto& message = messages[daemon.members->PeriodTo(*peer)];
+      auto& message = messages[daemon.members->HeartbeatIntervalTo(*peer)];
       if (message == nullptr) {
-        message = MessageOf(*daemon.members, daemon.members->PeriodTo(*peer));
+        message = MessageOf(*daemon.members,
+                            daemon.members->HeartbeatIntervalTo(*peer));
       }
       const std::size_t to = IndexOf(peer->state.name);
       After((far ? 20 : 1) * kMs,
@@ -213,7 +215,7 @@
                                      Duration period) const {
     auto message = std::make_shared<Message>();
     message->state = members.own();
-    message->state.next_beat = period;
+    message->state.heartbeat_interval = period;
     for (const Membership::Peer* peer : members.RecentlyLost(now_)) {
       message->lost.emplace_back(peer->state.name, peer->state.incarnation);
     }
@@ -231,21 +233,22 @@
       return;
     }
     Membership& members = *daemon.members;
-    const auto arrival = members.OnBeat(now_, message->state);
+    const auto arrival = members.OnHeartbeat(now_, message->state);
     const Membership::Peer* peer = members.Find(message->state.name);
-    if (arrival != Membership::Arrival::kKnown && members.IsToldOf(*peer)) {
+    if (arrival != Membership::Arrival::kKnown &&
+        members.SendsHeartbeatsTo(*peer)) {
       Send(to, {peer});
     }
     for (const auto& [name, incarnation] : message->lost) {
-      if (members.OnLossTold(now_, name, incarnation) ==
-          Membership::Loss::kOfThisDaemon) {
-        Send(to, members.BeatTargets(now_));
+      if (members.OnLossReport(now_, name, incarnation) ==
+          Membership::LossReport::kAboutSelf) {
+        Send(to, members.HeartbeatTargets(now_));
       }
     }
   }
 
   Shape shape_;
-  double loss_ = 0;
+  double loss_rate_ = 0;
   std::vector<std::string> stage_services_{"stage"};
   std::mt19937_64 random_;
   std::map<std::string, std::string, std::less<>> regions_;
