--- a/packages/gateway/include/gentianroute/gateway/daemon_rows.h
+++ b/packages/gateway/include/gentianroute/gateway/daemon_rows.h
@@ -29,9 +29,9 @@
 
  private:
   void Read();
-  void Take(const StoreAnswer& answer);
+  void OnRead(const StoreAnswer& answer);
   void Write();
-  void Again(Duration pause);
+  void ReadAfter(Duration delay);
 
   EventLoop& loop_;
   Store& store_;
--- a/packages/gateway/include/gentianroute/gateway/detail/gateway_impl.h
+++ b/packages/gateway/include/gentianroute/gateway/detail/gateway_impl.h
@@ -146,7 +146,7 @@
               cluster_.SendUpdate(Cluster::UpdateScope::kGossip);
             },
             [this](bool answers) {
-              if (answers && server_rows_.known()) {
+              if (answers && server_rows_.is_loaded()) {
                 servers_.OnStoreRecovered(loop_.Now());
               }
             },
@@ -183,7 +183,7 @@
   }
 
   /// Whether requests can be routed.
-  bool knows_all() const { return table_ != nullptr && server_rows_.known(); }
+  bool knows_all() const { return table_ != nullptr && server_rows_.is_loaded(); }
   bool ready() const { return knows_all() && !draining_; }
 
   /// Begins what has waited for the daemon to know its deployment.
--- a/packages/gateway/include/gentianroute/gateway/store_follower.h
+++ b/packages/gateway/include/gentianroute/gateway/store_follower.h
@@ -17,11 +17,11 @@
 struct StoreChanges {
   std::vector<StoredRow> rows;
   std::uint64_t version = 0;  ///< that these are complete up to; 0: none
-  bool whole = false;         ///< for one that knows nothing of the table yet
+  bool is_full = false;       ///< for one that knows nothing of the table yet
   /// Hashes of the keys of all rows that there were at a version, for one that
   /// can't be told all deletions before it; empty: it can.
-  std::vector<std::uint64_t> listed;
-  std::uint64_t listed_version = 0;
+  std::vector<std::uint64_t> live_key_hashes;
+  std::uint64_t live_keys_version = 0;
 };
 
 /// @brief Keeps a copy of one of the store's tables.
@@ -40,15 +40,16 @@
   struct Listener {
     OnRows on_rows;      ///< the table was read whole
     OnChange on_change;  ///< one row changed
-    std::function<void(bool answers)> on_reachable;  ///< lost or regained
-    std::function<void()> on_silence;  ///< a call failed after one that did not
+    std::function<void(bool reachable)> on_reachable;  ///< lost or regained
+    std::function<void()>
+        on_call_failed;  ///< a call failed after one that did not
   };
 
   /// @param change_in_force time within which a change has to be known here
   StoreFollower(EventLoop& loop,
                 Store& store,
                 StoreTable table,
-                Duration change_in_force,
+                Duration max_propagation_time,
                 Listener listener);
   ~StoreFollower();
 
@@ -56,14 +57,14 @@
   /// @brief Whether this daemon is to follow the table's changes.
   void SetFollowing(bool following);
   /// @brief What a peer has read; taken if it is newer.
-  void Offer(const StoreChanges& changes);
+  void MergePeerCopy(const StoreChanges& changes);
   /// @brief What a peer does not know yet, the oldest first, as much of it as
   /// fits into one message. What is left it asks for when it has taken this.
   /// @param known newest change that the peer has
   StoreChanges ChangesAfter(std::uint64_t known) const;
 
-  bool known() const { return known_; }
-  bool answers() const { return answers_; }
+  bool is_loaded() const { return is_loaded_; }
+  bool reachable() const { return reachable_; }
   StoreContact contact() const;
   /// @brief Time since the store last answered.
   Duration Age(TimePoint now) const { return now - answered_at_; }
@@ -73,36 +74,36 @@
   std::uint64_t newest_change() const { return newest_change_; }
 
  private:
-  void ReadWhole();
-  void FollowOn();
-  void OnWhole(const StoreAnswer& answer);
+  void ReadTable();
+  void FollowChanges();
+  void OnTable(const StoreAnswer& answer);
   void OnChanges(const StoreAnswer& answer);
-  void Take(const std::vector<StoredRow>& rows, std::uint64_t version);
+  void ReplaceTable(const std::vector<StoredRow>& rows, std::uint64_t version);
   /// Rows and deletions, the oldest first.
   std::vector<const StoredRow*> NewerThan(std::uint64_t known) const;
-  void DropUnlisted(const StoreChanges& changes);
+  void RemoveUnlisted(const StoreChanges& changes);
   void Apply(const StoredRow& row);
-  void Ask();
-  void AskAfter(Duration pause);
-  void Bury(const StoredRow& row);
-  void OnAnswer();
-  void OnSilence(const std::string& detail);
+  void SendNextCall();
+  void ScheduleCall(Duration delay);
+  void AddTombstone(const StoredRow& row);
+  void OnCallSucceeded();
+  void OnCallFailed(const std::string& detail);
 
   EventLoop& loop_;
   Store& store_;
   StoreTable table_;
-  Duration hold_;  ///< of a call without news
+  Duration long_poll_timeout_;  ///< of a call without news
   Listener listener_;
   std::map<std::string, StoredRow, std::less<>> rows_;
   /// Deleted rows, so that peers can be told of them.
-  std::map<std::string, StoredRow, std::less<>> graves_;
-  std::uint64_t graves_since_ = 0;  ///< older deletions are forgotten
+  std::map<std::string, StoredRow, std::less<>> tombstones_;
+  std::uint64_t tombstones_since_ = 0;  ///< older deletions are forgotten
   std::uint64_t version_ = 0;
   std::uint64_t newest_change_ = 0;
   bool following_ = false;
-  bool asking_ = false;
-  bool known_ = false;
-  bool answers_ = false;
+  bool call_pending_ = false;
+  bool is_loaded_ = false;
+  bool reachable_ = false;
   std::uint32_t failures_ = 0;
   TimePoint answered_at_{};
   TimerId timer_;
--- a/packages/gateway/src/daemon_rows.cc
+++ b/packages/gateway/src/daemon_rows.cc
@@ -12,12 +12,12 @@
 
 /// Daemons that start together write their rows within the first moments; each
 /// reads the others' so much later.
-constexpr Duration kAfterWriting = std::chrono::milliseconds(400);
+constexpr Duration kReadDelayAfterWrite = std::chrono::milliseconds(400);
 /// Of two daemons the later to write is known to the other by its beats, so the
 /// rows are read again only against what nobody has thought of.
-constexpr Duration kRowPeriod = std::chrono::minutes(5);
+constexpr Duration kReadInterval = std::chrono::minutes(5);
 /// After a call that failed.
-constexpr Duration kPause = std::chrono::milliseconds(400);
+constexpr Duration kRetryDelay = std::chrono::milliseconds(400);
 
 std::string RowOf(const DaemonState& daemon) {
   return nlohmann::json{{"address", daemon.address},
@@ -65,12 +65,12 @@
 
 void DaemonRows::Read() {
   store_.Read(StoreTable::kDaemons,
-              [this](const StoreAnswer& answer) { Take(answer); });
+              [this](const StoreAnswer& answer) { OnRead(answer); });
 }
 
-void DaemonRows::Take(const StoreAnswer& answer) {
+void DaemonRows::OnRead(const StoreAnswer& answer) {
   if (answer.kind != StoreAnswer::Kind::kRows) {
-    Again(kPause);
+    ReadAfter(kRetryDelay);
     return;
   }
   std::vector<DaemonState> others;
@@ -83,7 +83,7 @@
   }
   on_rows_(others);
   if (written_) {
-    Again(kRowPeriod);
+    ReadAfter(kReadInterval);
   } else {
     Write();
   }
@@ -94,13 +94,13 @@
              [this](const StoreAnswer& answer) {
                written_ = answer.kind == StoreAnswer::Kind::kRows;
                // Reading shows whether a write without an answer was made.
-               Again(kAfterWriting);
+               ReadAfter(kReadDelayAfterWrite);
              });
 }
 
-void DaemonRows::Again(Duration pause) {
+void DaemonRows::ReadAfter(Duration delay) {
   loop_.Cancel(timer_);
-  timer_ = loop_.After(pause, [this] { Read(); });
+  timer_ = loop_.After(delay, [this] { Read(); });
 }
 
 }  // namespace gentianroute::gateway
--- a/packages/gateway/src/gateway_peers.cc
+++ b/packages/gateway/src/gateway_peers.cc
@@ -136,10 +136,10 @@
       servers.rows,
       copy.initServers(static_cast<unsigned>(servers.rows.size())));
   copy.setServersVersion(servers.version);
-  copy.setServersWhole(servers.whole);
-  copy.setServersListedVersion(servers.listed_version);
-  copy.setServersListed(
-      kj::arrayPtr(servers.listed.data(), servers.listed.size()));
+  copy.setServersWhole(servers.is_full);
+  copy.setServersListedVersion(servers.live_keys_version);
+  copy.setServersListed(kj::arrayPtr(servers.live_key_hashes.data(),
+                                     servers.live_key_hashes.size()));
 }
 
 void Gateway::Impl::OnStoreCopy(schema::StoreCopy::Reader copy) {
@@ -150,20 +150,20 @@
   }
   if (!deployment.rows.empty()) {
     LogEvent("deployment_from_peer").Field("row_version", deployment.version);
-    deployment.whole = !deployment_.known();
-    deployment_.Offer(deployment);
+    deployment.is_full = !deployment_.is_loaded();
+    deployment_.MergePeerCopy(deployment);
   }
   if (copy.getServersVersion() > 0) {
     StoreChanges servers{detail::ReadRows(copy.getServers()),
                          copy.getServersVersion(), copy.getServersWhole()};
-    servers.listed_version = copy.getServersListedVersion();
+    servers.live_keys_version = copy.getServersListedVersion();
     for (const std::uint64_t hash : copy.getServersListed()) {
-      servers.listed.push_back(hash);
+      servers.live_key_hashes.push_back(hash);
     }
     LogEvent("servers_from_peer")
         .Field("version", servers.version)
         .Field("rows", servers.rows.size());
-    server_rows_.Offer(servers);
+    server_rows_.MergePeerCopy(servers);
   }
 }
 
--- a/packages/gateway/src/row_messages.cc
+++ b/packages/gateway/src/row_messages.cc
@@ -12,10 +12,10 @@
 namespace {
 
 /// Smaller rows fit into a few packets as they are.
-constexpr std::size_t kLargeBytes = 4096;
+constexpr std::size_t kCompressionThreshold = 4096;
 /// Bound on what a peer may make this daemon set aside; rows of the store are
 /// far smaller.
-constexpr std::uint32_t kMostBytes = 16U << 20U;
+constexpr std::uint32_t kMaxInflatedBytes = 16U << 20U;
 
 kj::ArrayPtr<const kj::byte> BytesOf(std::string_view text) {
   return kj::arrayPtr(reinterpret_cast<const kj::byte*>(text.data()),
@@ -29,7 +29,7 @@
   if (row.getInflatedSize() == 0) {
     return std::string(bytes);
   }
-  if (row.getInflatedSize() > kMostBytes) {
+  if (row.getInflatedSize() > kMaxInflatedBytes) {
     return std::nullopt;
   }
   return Inflate(bytes, row.getInflatedSize());
@@ -44,7 +44,7 @@
     out[i].setKey(row.key);
     out[i].setVersion(row.version);
     out[i].setDeleted(row.deleted);
-    if (row.value.size() < kLargeBytes) {
+    if (row.value.size() < kCompressionThreshold) {
       out[i].setValue(BytesOf(row.value));
       continue;
     }
--- a/packages/gateway/src/store_follower.cc
+++ b/packages/gateway/src/store_follower.cc
@@ -17,28 +17,29 @@
 /// has to ask: two such times have to fit into the time in which a change must
 /// be in force, beside what the calls and the news of it take. Shorter costs
 /// calls, which are billed.
-Duration HoldFor(Duration change_in_force) {
-  constexpr Duration kCallsAndNews = std::chrono::milliseconds(1100);
-  constexpr Duration kShortest = std::chrono::milliseconds(300);
-  constexpr Duration kLongest = std::chrono::seconds(5);
-  return std::clamp((change_in_force - kCallsAndNews) / 2, kShortest, kLongest);
+Duration LongPollTimeout(Duration max_propagation_time) {
+  constexpr Duration kPropagationTime = std::chrono::milliseconds(1100);
+  constexpr Duration kMinTimeout = std::chrono::milliseconds(300);
+  constexpr Duration kMaxTimeout = std::chrono::seconds(5);
+  return std::clamp((max_propagation_time - kPropagationTime) / 2, kMinTimeout,
+                    kMaxTimeout);
 }
 
 /// Changes within this time come in one answer: hundreds of servers that start
 /// together would cost a call each. It is a small part of the time in which a
 /// change must be in force.
-constexpr Duration kChangesTogether = std::chrono::milliseconds(120);
+constexpr Duration kBatchInterval = std::chrono::milliseconds(120);
 /// Pause after a call that failed, doubled each time up to the last.
-constexpr Duration kFirstPause = std::chrono::milliseconds(60);
-constexpr Duration kLongestPause = std::chrono::milliseconds(500);
+constexpr Duration kInitialBackoff = std::chrono::milliseconds(60);
+constexpr Duration kMaxBackoff = std::chrono::milliseconds(500);
 /// Deletions that peers can still be told of one by one; a peer that lacks
 /// older ones gets the list of what is left.
-constexpr std::size_t kMostGraves = 1000;
+constexpr std::size_t kMaxTombstones = 1000;
 /// A copy for a peer holds about so much. Whole tables, asked for by a whole
 /// data centre at once, fill the memory and the link of the one that has them.
-constexpr std::size_t kMostCopyBytes = 64 * 1024;
+constexpr std::size_t kMaxCopyBytes = 64 * 1024;
 /// A single lost answer is no outage.
-constexpr std::uint32_t kFailuresOfOutage = 2;
+constexpr std::uint32_t kOutageFailures = 2;
 
 constexpr std::array<std::string_view, 3> kTableNames = {"deployment",
                                                          "servers", "daemons"};
@@ -56,12 +57,12 @@
 StoreFollower::StoreFollower(EventLoop& loop,
                              Store& store,
                              StoreTable table,
-                             Duration change_in_force,
+                             Duration max_propagation_time,
                              Listener listener)
     : loop_(loop),
       store_(store),
       table_(table),
-      hold_(HoldFor(change_in_force)),
+      long_poll_timeout_(LongPollTimeout(max_propagation_time)),
       listener_(std::move(listener)) {}
 
 StoreFollower::~StoreFollower() {
@@ -69,66 +70,66 @@
 }
 
 void StoreFollower::Start() {
-  Ask();
+  SendNextCall();
 }
 
 void StoreFollower::SetFollowing(bool following) {
   const bool followed = std::exchange(following_, following);
-  if (known_ && following && !followed && !asking_) {
-    Ask();
+  if (is_loaded_ && following && !followed && !call_pending_) {
+    SendNextCall();
   }
 }
 
-void StoreFollower::Ask() {
-  if (!known_) {
-    ReadWhole();
+void StoreFollower::SendNextCall() {
+  if (!is_loaded_) {
+    ReadTable();
   } else if (following_) {
-    FollowOn();
+    FollowChanges();
   }
 }
 
-void StoreFollower::ReadWhole() {
-  asking_ = true;
-  store_.Read(table_, [this](const StoreAnswer& answer) { OnWhole(answer); });
+void StoreFollower::ReadTable() {
+  call_pending_ = true;
+  store_.Read(table_, [this](const StoreAnswer& answer) { OnTable(answer); });
 }
 
-void StoreFollower::FollowOn() {
-  asking_ = true;
-  store_.Follow(table_, version_, hold_,
+void StoreFollower::FollowChanges() {
+  call_pending_ = true;
+  store_.Follow(table_, version_, long_poll_timeout_,
                 [this](const StoreAnswer& answer) { OnChanges(answer); });
 }
 
-void StoreFollower::OnWhole(const StoreAnswer& answer) {
-  asking_ = false;
+void StoreFollower::OnTable(const StoreAnswer& answer) {
+  call_pending_ = false;
   if (answer.kind != StoreAnswer::Kind::kRows) {
-    OnSilence(answer.detail);
+    OnCallFailed(answer.detail);
     return;
   }
-  OnAnswer();
-  if (known_ && answer.version < version_) {
+  OnCallSucceeded();
+  if (is_loaded_ && answer.version < version_) {
     // A copy that lags: what is known stays, and the read is repeated.
-    OnSilence("the store's answer is older than what is known");
+    OnCallFailed("the store's answer is older than what is known");
     return;
   }
-  Take(answer.rows, answer.version);
-  Ask();
+  ReplaceTable(answer.rows, answer.version);
+  SendNextCall();
 }
 
 void StoreFollower::OnChanges(const StoreAnswer& answer) {
-  asking_ = false;
+  call_pending_ = false;
   if (answer.kind == StoreAnswer::Kind::kHistoryGone) {
-    OnAnswer();
+    OnCallSucceeded();
     LogEvent("store_history_gone", LogLevel::kWarning)
         .Field("table", NameOf(table_))
         .Field("version", version_);
-    ReadWhole();
+    ReadTable();
     return;
   }
   if (answer.kind != StoreAnswer::Kind::kRows) {
-    OnSilence(answer.detail);
+    OnCallFailed(answer.detail);
     return;
   }
-  OnAnswer();
+  OnCallSucceeded();
   // A peer's newer copy may have come meanwhile; what it covers is old news,
   // and an old row could bring back one that is deleted by now.
   const std::uint64_t known = version_;
@@ -139,48 +140,48 @@
   }
   version_ = std::max(version_, answer.version);
   if (answer.rows.empty()) {
-    Ask();
+    SendNextCall();
     return;
   }
-  AskAfter(kChangesTogether);
+  ScheduleCall(kBatchInterval);
 }
 
-void StoreFollower::Offer(const StoreChanges& changes) {
-  if (changes.whole && newest_change_ > 0) {
+void StoreFollower::MergePeerCopy(const StoreChanges& changes) {
+  if (changes.is_full && newest_change_ > 0) {
     // It has read the store meanwhile, and asks again from where it is.
     return;
   }
-  if (changes.whole && !known_) {
-    Take(changes.rows, changes.version);
+  if (changes.is_full && !is_loaded_) {
+    ReplaceTable(changes.rows, changes.version);
     return;
   }
-  DropUnlisted(changes);
+  RemoveUnlisted(changes);
   for (const StoredRow& row : changes.rows) {
     Apply(row);
   }
   version_ = std::max(version_, changes.version);
 }
 
-void StoreFollower::DropUnlisted(const StoreChanges& changes) {
-  if (changes.listed.empty()) {
+void StoreFollower::RemoveUnlisted(const StoreChanges& changes) {
+  if (changes.live_key_hashes.empty()) {
     return;
   }
-  const std::unordered_set<std::uint64_t> listed(changes.listed.begin(),
-                                                 changes.listed.end());
+  const std::unordered_set<std::uint64_t> live_key_hashes(
+      changes.live_key_hashes.begin(), changes.live_key_hashes.end());
   std::vector<StoredRow> gone;
   for (const auto& [key, row] : rows_) {
-    if (row.version <= changes.listed_version &&
-        !listed.contains(HashOf(key))) {
+    if (row.version <= changes.live_keys_version &&
+        !live_key_hashes.contains(HashOf(key))) {
       gone.push_back({key, "", row.version, true});
     }
   }
   for (const StoredRow& row : gone) {
     rows_.erase(row.key);
-    Bury(row);
+    AddTombstone(row);
     listener_.on_change(row);
   }
   // When these were deleted is not known, so nobody can be told of them alone.
-  graves_since_ = std::max(graves_since_, changes.listed_version);
+  tombstones_since_ = std::max(tombstones_since_, changes.live_keys_version);
 }
 
 std::vector<const StoredRow*> StoreFollower::NewerThan(
@@ -196,7 +197,7 @@
   add(rows_);
   // One that knows nothing has nothing to delete.
   if (known > 0) {
-    add(graves_);
+    add(tombstones_);
   }
   std::sort(newer.begin(), newer.end(),
             [](const StoredRow* a, const StoredRow* b) {
@@ -207,14 +208,14 @@
 
 StoreChanges StoreFollower::ChangesAfter(std::uint64_t known) const {
   StoreChanges changes;
-  if (!known_ || known >= newest_change_) {
+  if (!is_loaded_ || known >= newest_change_) {
     return changes;
   }
-  changes.whole = known == 0;
-  if (!changes.whole && known < graves_since_) {
-    changes.listed_version = version_;
+  changes.is_full = known == 0;
+  if (!changes.is_full && known < tombstones_since_) {
+    changes.live_keys_version = version_;
     for (const auto& [key, row] : rows_) {
-      changes.listed.push_back(HashOf(key));
+      changes.live_key_hashes.push_back(HashOf(key));
     }
   }
   changes.version = version_;
@@ -224,7 +225,7 @@
     // store was ever in.
     const bool same_write =
         !changes.rows.empty() && changes.rows.back().version == row->version;
-    if (bytes >= kMostCopyBytes && !same_write) {
+    if (bytes >= kMaxCopyBytes && !same_write) {
       changes.version = changes.rows.back().version;
       break;
     }
@@ -234,8 +235,8 @@
   return changes;
 }
 
-void StoreFollower::Take(const std::vector<StoredRow>& rows,
-                         std::uint64_t version) {
+void StoreFollower::ReplaceTable(const std::vector<StoredRow>& rows,
+                                 std::uint64_t version) {
   auto before = std::exchange(rows_, {});
   for (const StoredRow& row : rows) {
     rows_[row.key] = row;
@@ -244,13 +245,13 @@
   }
   // What is missing now was deleted some time before this read.
   for (auto& [key, row] : before) {
-    Bury({key, "", version, true});
+    AddTombstone({key, "", version, true});
   }
-  if (!known_) {
-    graves_since_ = version;
+  if (!is_loaded_) {
+    tombstones_since_ = version;
   }
   version_ = std::max(version_, version);
-  known_ = true;
+  is_loaded_ = true;
   listener_.on_rows(rows);
 }
 
@@ -259,13 +260,14 @@
   if (found != rows_.end() && found->second.version >= row.version) {
     return;
   }
-  const auto grave = graves_.find(row.key);
-  if (grave != graves_.end() && grave->second.version >= row.version) {
+  const auto tombstone = tombstones_.find(row.key);
+  if (tombstone != tombstones_.end() &&
+      tombstone->second.version >= row.version) {
     return;
   }
   if (row.deleted) {
     rows_.erase(row.key);
-    Bury(row);
+    AddTombstone(row);
   } else {
     rows_[row.key] = row;
     newest_change_ = std::max(newest_change_, row.version);
@@ -273,59 +275,59 @@
   listener_.on_change(row);
 }
 
-void StoreFollower::Bury(const StoredRow& row) {
+void StoreFollower::AddTombstone(const StoredRow& row) {
   newest_change_ = std::max(newest_change_, row.version);
-  graves_[row.key] = row;
-  if (graves_.size() <= kMostGraves) {
+  tombstones_[row.key] = row;
+  if (tombstones_.size() <= kMaxTombstones) {
     return;
   }
   const auto oldest = std::min_element(
-      graves_.begin(), graves_.end(), [](const auto& a, const auto& b) {
+      tombstones_.begin(), tombstones_.end(), [](const auto& a, const auto& b) {
         return a.second.version < b.second.version;
       });
-  graves_since_ = std::max(graves_since_, oldest->second.version);
-  graves_.erase(oldest);
+  tombstones_since_ = std::max(tombstones_since_, oldest->second.version);
+  tombstones_.erase(oldest);
 }
 
 StoreContact StoreFollower::contact() const {
-  if (!following_ && !asking_) {
+  if (!following_ && !call_pending_) {
     return StoreContact::kNotAsked;
   }
   // One lost call is enough for another daemon to ask as well.
-  return answers_ && failures_ == 0 ? StoreContact::kReachable
-                                    : StoreContact::kUnreachable;
+  return reachable_ && failures_ == 0 ? StoreContact::kReachable
+                                      : StoreContact::kUnreachable;
 }
 
-void StoreFollower::OnAnswer() {
+void StoreFollower::OnCallSucceeded() {
   failures_ = 0;
   answered_at_ = loop_.Now();
-  if (!std::exchange(answers_, true)) {
+  if (!std::exchange(reachable_, true)) {
     LogEvent("store_answers").Field("table", NameOf(table_));
     listener_.on_reachable(true);
   }
 }
 
-void StoreFollower::OnSilence(const std::string& detail) {
+void StoreFollower::OnCallFailed(const std::string& detail) {
   if (++failures_ == 1) {
-    listener_.on_silence();
+    listener_.on_call_failed();
   }
-  if (failures_ >= kFailuresOfOutage && std::exchange(answers_, false)) {
+  if (failures_ >= kOutageFailures && std::exchange(reachable_, false)) {
     LogEvent("store_lost", LogLevel::kWarning)
         .Field("table", NameOf(table_))
         .Field("reason", detail);
     listener_.on_reachable(false);
   }
-  constexpr std::uint32_t kMostDoublings = 4;
-  const Duration pause = std::min(
-      kLongestPause, kFirstPause * (1 << std::min(failures_, kMostDoublings)));
-  AskAfter(pause);
+  constexpr std::uint32_t kMaxDoublings = 4;
+  const Duration delay = std::min(
+      kMaxBackoff, kInitialBackoff * (1 << std::min(failures_, kMaxDoublings)));
+  ScheduleCall(delay);
 }
 
-void StoreFollower::AskAfter(Duration pause) {
+void StoreFollower::ScheduleCall(Duration delay) {
   loop_.Cancel(timer_);
-  timer_ = loop_.After(pause, [this] {
-    if (!asking_) {
-      Ask();
+  timer_ = loop_.After(delay, [this] {
+    if (!call_pending_) {
+      SendNextCall();
     }
   });
 }
--- a/packages/gateway/tests/daemon_rows_test.cc
+++ b/packages/gateway/tests/daemon_rows_test.cc
@@ -31,7 +31,7 @@
     own.data_centre = "north";
     return own;
   }
-  void Pass(Duration time) { PassTime(loop, time); }
+  void RunFor(Duration time) { RunLoopFor(loop, time); }
 };
 
 }  // namespace
@@ -39,25 +39,25 @@
 Test(daemon_rows, first_start_writes_a_row_and_reads_again) {
   RowsFixture fixture;
   fixture.rows.Start();
-  fixture.store.Answer({}, 1);
+  fixture.store.RespondWithRows({}, 1);
   cr_assert_eq(fixture.store.written.size(), 1);
-  fixture.store.Answer({}, 2);
-  fixture.Pass(kLongerThanAnyPause);
-  fixture.store.Answer({{"other", std::string(kOtherRow), 3, false},
-                        fixture.store.written.front()},
-                       3);
+  fixture.store.RespondWithRows({}, 2);
+  fixture.RunFor(kLongerThanAnyDelay);
+  fixture.store.RespondWithRows({{"other", std::string(kOtherRow), 3, false},
+                                 fixture.store.written.front()},
+                                3);
   cr_assert_eq(fixture.read, std::vector<std::string>{"other@10.0.0.2"});
   cr_assert_eq(fixture.store.written.size(), 1);
-  fixture.Pass(kLongerThanAnyPause);
-  cr_assert(fixture.store.asked.empty());
+  fixture.RunFor(kLongerThanAnyDelay);
+  cr_assert(fixture.store.calls.empty());
 }
 
 // Load: all processes were killed, and hundreds start at once. Their rows are
 // there; each still wrote its own and read all a second time.
-Test(daemon_rows, restart_costs_one_call) {
+Test(daemon_rows, restart_with_an_existing_row_costs_one_call) {
   RowsFixture first;
   first.rows.Start();
-  first.store.Answer({}, 1);
+  first.store.RespondWithRows({}, 1);
   const StoredRow own = first.store.written.front();
   std::vector<std::string> read;
   FakeStore store;
@@ -66,26 +66,27 @@
                      read.push_back(daemons.front().name);
                    });
   again.Start();
-  store.Answer({{"other", std::string(kOtherRow), 3, false}, own}, 3);
-  first.Pass(kLongerThanAnyPause);
+  store.RespondWithRows({{"other", std::string(kOtherRow), 3, false}, own}, 3);
+  first.RunFor(kLongerThanAnyDelay);
   cr_assert(store.written.empty());
-  cr_assert(store.asked.empty());
+  cr_assert(store.calls.empty());
   cr_assert_eq(read, std::vector<std::string>{"other"});
 }
 
 // A daemon that takes the place of another has its name but another address.
-Test(daemon_rows, row_with_another_address_is_written_anew) {
+Test(daemon_rows, row_with_another_address_is_overwritten) {
   RowsFixture fixture;
   fixture.rows.Start();
-  fixture.store.Answer({{"self", std::string(kOtherRow), 3, false}}, 3);
+  fixture.store.RespondWithRows({{"self", std::string(kOtherRow), 3, false}},
+                                3);
   cr_assert_eq(fixture.store.written.size(), 1);
 }
 
-Test(daemon_rows, call_without_an_answer_is_made_again) {
+Test(daemon_rows, call_without_an_answer_is_repeated) {
   RowsFixture fixture;
   fixture.rows.Start();
-  fixture.store.Give(StoreAnswer{});
-  cr_assert(fixture.store.asked.empty());
-  fixture.Pass(kLongerThanAnyPause);
-  cr_assert_eq(fixture.store.asked.size(), 1);
+  fixture.store.Respond(StoreAnswer{});
+  cr_assert(fixture.store.calls.empty());
+  fixture.RunFor(kLongerThanAnyDelay);
+  cr_assert_eq(fixture.store.calls.size(), 1);
 }
--- a/packages/gateway/tests/fake_store.h
+++ b/packages/gateway/tests/fake_store.h
@@ -13,10 +13,10 @@
 
 namespace gentianroute::gateway {
 
-inline constexpr Duration kLongerThanAnyPause = std::chrono::milliseconds(700);
+inline constexpr Duration kLongerThanAnyDelay = std::chrono::milliseconds(700);
 
 /// Lets timers run that are due within a time.
-inline void PassTime(EventLoop& loop, Duration time) {
+inline void RunLoopFor(EventLoop& loop, Duration time) {
   loop.After(time, [&loop] { loop.Stop(); });
   loop.Run();
 }
@@ -24,46 +24,46 @@
 /// A store whose answers the test gives.
 class FakeStore final : public Store {
  public:
-  struct Asked {
-    bool whole = false;
+  struct Call {
+    bool is_full = false;
     std::uint64_t after = 0;
     Done done;
   };
 
   void Read(StoreTable /*table*/, Done done) override {
-    asked.push_back({true, 0, std::move(done)});
+    calls.push_back({true, 0, std::move(done)});
   }
   void Follow(StoreTable /*table*/,
               std::uint64_t after,
               Duration wait,
               Done done) override {
-    asked.push_back({false, after, std::move(done)});
-    longest_wait = std::max(longest_wait, wait);
+    calls.push_back({false, after, std::move(done)});
+    max_wait = std::max(max_wait, wait);
   }
   void Put(StoreTable /*table*/,
            std::string_view key,
            std::string_view value,
            Done done) override {
     written.push_back({std::string(key), std::string(value), 0, false});
-    asked.push_back({false, 0, std::move(done)});
+    calls.push_back({false, 0, std::move(done)});
   }
 
-  void Answer(std::vector<StoredRow> rows, std::uint64_t version) {
+  void RespondWithRows(std::vector<StoredRow> rows, std::uint64_t version) {
     StoreAnswer answer;
     answer.kind = StoreAnswer::Kind::kRows;
     answer.rows = std::move(rows);
     answer.version = version;
-    Give(std::move(answer));
+    Respond(std::move(answer));
   }
-  void Give(StoreAnswer answer) {
-    const Asked first = std::move(asked.front());
-    asked.pop_front();
+  void Respond(StoreAnswer answer) {
+    const Call first = std::move(calls.front());
+    calls.pop_front();
     first.done(std::move(answer));
   }
 
-  std::deque<Asked> asked;
+  std::deque<Call> calls;
   std::vector<StoredRow> written;
-  Duration longest_wait{0};
+  Duration max_wait{0};
 };
 
 }  // namespace gentianroute::gateway
--- a/packages/gateway/tests/row_messages_test.cc
+++ b/packages/gateway/tests/row_messages_test.cc
@@ -28,24 +28,24 @@
   capnp::MallocMessageBuilder message;
   RowWriter writer;
 
-  std::vector<StoredRow> PassOn(const std::vector<StoredRow>& rows) {
+  std::vector<StoredRow> SendAndRead(const std::vector<StoredRow>& rows) {
     auto copy = message.initRoot<schema::StoreCopy>();
     writer.Write(rows, copy.initDeployment(static_cast<unsigned>(rows.size())));
     return ReadRows(copy.asReader().getDeployment());
   }
-  std::size_t BytesSent() {
+  std::size_t EncodedSize() {
     return capnp::computeSerializedSizeInWords(message) * sizeof(capnp::word);
   }
 };
 
 }  // namespace
 
-Test(row_messages, rows_come_as_they_were_sent) {
+Test(row_messages, rows_are_read_as_they_were_written) {
   CopyFixture fixture;
   const auto rows =
-      fixture.PassOn({{"small", "{}", 7, false},
-                      {"large", LargeConfiguration(500), 8, false},
-                      {"gone", "", 9, true}});
+      fixture.SendAndRead({{"small", "{}", 7, false},
+                           {"large", LargeConfiguration(500), 8, false},
+                           {"gone", "", 9, true}});
   cr_assert_eq(rows.size(), 3);
   cr_assert(rows[0].value == "{}");
   cr_assert(rows[1].value == LargeConfiguration(500));
@@ -59,24 +59,24 @@
 Test(row_messages, large_configuration_reaches_a_data_centre_in_time) {
   constexpr int kPeers = 15;
   constexpr double kLinkBytesPerSecond = 10e6 / 8;
-  constexpr double kSecondsAtMost = 1.2;
+  constexpr double kMaxSeconds = 1.2;
   CopyFixture fixture;
-  fixture.PassOn({{"config", LargeConfiguration(5000), 8, false}});
+  fixture.SendAndRead({{"config", LargeConfiguration(5000), 8, false}});
   const double seconds =
-      static_cast<double>(fixture.BytesSent()) * kPeers / kLinkBytesPerSecond;
-  cr_assert_lt(seconds, kSecondsAtMost);
+      static_cast<double>(fixture.EncodedSize()) * kPeers / kLinkBytesPerSecond;
+  cr_assert_lt(seconds, kMaxSeconds);
 }
 
 Test(row_messages, newer_version_is_not_sent_from_the_older_copy) {
   CopyFixture fixture;
-  fixture.PassOn({{"config", LargeConfiguration(100), 8, false}});
+  fixture.SendAndRead({{"config", LargeConfiguration(100), 8, false}});
   const auto rows =
-      fixture.PassOn({{"config", LargeConfiguration(101), 9, false}});
+      fixture.SendAndRead({{"config", LargeConfiguration(101), 9, false}});
   cr_assert(rows.at(0).value == LargeConfiguration(101));
 }
 
 // A peer of another build, or one gone wrong, must not end this daemon.
-Test(row_messages, bytes_that_are_no_text_are_left_out) {
+Test(row_messages, rows_with_invalid_compressed_values_are_skipped) {
   capnp::MallocMessageBuilder message;
   auto list = message.initRoot<schema::StoreCopy>().initDeployment(2);
   const kj::byte bytes[] = {1, 2, 3};
--- a/packages/gateway/tests/store_follower_test.cc
+++ b/packages/gateway/tests/store_follower_test.cc
@@ -11,31 +11,31 @@
 
 namespace {
 
-constexpr Duration kInForceWithin = std::chrono::milliseconds(2500);
+constexpr Duration kMaxPropagationTime = std::chrono::milliseconds(2500);
 
 struct FollowerFixture {
   EventLoop loop;
   FakeStore store;
   std::vector<std::string> changes;
-  std::size_t whole_reads = 0;
-  std::size_t silences = 0;
-  explicit FollowerFixture(Duration change_in_force = kInForceWithin)
+  std::size_t full_reads = 0;
+  std::size_t call_failures = 0;
+  explicit FollowerFixture(Duration max_propagation_time = kMaxPropagationTime)
       : follower(loop,
                  store,
                  StoreTable::kServers,
-                 change_in_force,
+                 max_propagation_time,
                  Listener()) {
     follower.SetFollowing(true);
   }
 
   StoreFollower::Listener Listener() {
-    return {[this](const std::vector<StoredRow>& /*rows*/) { ++whole_reads; },
+    return {[this](const std::vector<StoredRow>& /*rows*/) { ++full_reads; },
             [this](const StoredRow& row) {
               changes.push_back((row.deleted ? "-" : "+") + row.key);
             },
-            [](bool /*answers*/) {}, [this] { ++silences; }};
+            [](bool /*answers*/) {}, [this] { ++call_failures; }};
   }
-  void Pass(Duration time) { PassTime(loop, time); }
+  void RunFor(Duration time) { RunLoopFor(loop, time); }
 
   StoreFollower follower;
 };
@@ -50,7 +50,7 @@
       : follower(first.loop,
                  store,
                  StoreTable::kServers,
-                 kInForceWithin,
+                 kMaxPropagationTime,
                  {[](const std::vector<StoredRow>& /*rows*/) {},
                   [this](const StoredRow& row) {
                     changes.push_back((row.deleted ? "-" : "+") + row.key);
@@ -60,28 +60,28 @@
 
 }  // namespace
 
-Test(store_follower, reads_once_and_follows_from_there) {
+Test(store_follower, reads_table_once_and_follows_from_its_version) {
   FollowerFixture fixture;
   fixture.follower.Start();
-  fixture.store.Answer({{"a", "1", 4, false}}, 7);
-  cr_assert(fixture.follower.known());
-  cr_assert_eq(fixture.store.asked.front().after, 7);
-  fixture.store.Answer({{"b", "1", 9, false}}, 9);
+  fixture.store.RespondWithRows({{"a", "1", 4, false}}, 7);
+  cr_assert(fixture.follower.is_loaded());
+  cr_assert_eq(fixture.store.calls.front().after, 7);
+  fixture.store.RespondWithRows({{"b", "1", 9, false}}, 9);
   cr_assert_eq(fixture.changes, std::vector<std::string>{"+b"});
 }
 
 // Each call to the store costs money. A daemon that another one reads for must
 // not ask again once its last call has ended.
-Test(store_follower, daemon_that_does_not_follow_asks_no_more) {
+Test(store_follower, daemon_that_does_not_follow_makes_no_more_calls) {
   FollowerFixture fixture;
   fixture.follower.Start();
-  fixture.store.Answer({}, 7);
+  fixture.store.RespondWithRows({}, 7);
   fixture.follower.SetFollowing(false);
-  fixture.store.Answer({}, 8);
-  fixture.Pass(kLongerThanAnyPause);
-  cr_assert(fixture.store.asked.empty());
+  fixture.store.RespondWithRows({}, 8);
+  fixture.RunFor(kLongerThanAnyDelay);
+  cr_assert(fixture.store.calls.empty());
   fixture.follower.SetFollowing(true);
-  cr_assert_eq(fixture.store.asked.size(), 1);
+  cr_assert_eq(fixture.store.calls.size(), 1);
 }
 
 // A read lags behind what is known, as reads do after the store has dropped its
@@ -89,70 +89,71 @@
 Test(store_follower, older_copy_changes_nothing) {
   FollowerFixture fixture;
   fixture.follower.Start();
-  fixture.store.Answer({{"a", "new", 9, false}}, 9);
+  fixture.store.RespondWithRows({{"a", "new", 9, false}}, 9);
   StoreAnswer gone;
   gone.kind = StoreAnswer::Kind::kHistoryGone;
-  fixture.store.Give(gone);
-  fixture.store.Answer({{"a", "old", 3, false}}, 5);
-  cr_assert_eq(fixture.whole_reads, 1);
+  fixture.store.Respond(gone);
+  fixture.store.RespondWithRows({{"a", "old", 3, false}}, 5);
+  cr_assert_eq(fixture.full_reads, 1);
   cr_assert_eq(fixture.follower.version(), 9);
 }
 
-Test(store_follower, lost_history_is_followed_by_a_whole_read) {
+Test(store_follower, lost_history_is_followed_by_a_full_read) {
   FollowerFixture fixture;
   fixture.follower.Start();
-  fixture.store.Answer({{"a", "", 4, false}, {"b", "", 5, false}}, 7);
+  fixture.store.RespondWithRows({{"a", "", 4, false}, {"b", "", 5, false}}, 7);
   StoreAnswer gone;
   gone.kind = StoreAnswer::Kind::kHistoryGone;
-  fixture.store.Give(gone);
-  cr_assert(fixture.store.asked.front().whole);
-  fixture.store.Answer({{"a", "", 4, false}}, 12);
-  cr_assert_eq(fixture.whole_reads, 2);
+  fixture.store.Respond(gone);
+  cr_assert(fixture.store.calls.front().is_full);
+  fixture.store.RespondWithRows({{"a", "", 4, false}}, 12);
+  cr_assert_eq(fixture.full_reads, 2);
 }
 
 // Callers of a whole data centre got 404 for a new route: its one reader had
 // been cut off from the store and noticed it only after four seconds. Two
 // daemons in a row have to notice within the time in which a change must be in
 // force.
-Test(store_follower, silence_is_noticed_while_another_can_still_ask) {
+Test(store_follower,
+     failed_call_is_noticed_while_another_daemon_can_still_take_over) {
   constexpr Duration kAnswerMargin = std::chrono::milliseconds(400);
   FollowerFixture fixture;
   fixture.follower.Start();
-  fixture.store.Answer({}, 7);
-  cr_assert(2 * (fixture.store.longest_wait + kAnswerMargin) < kInForceWithin);
+  fixture.store.RespondWithRows({}, 7);
+  cr_assert(2 * (fixture.store.max_wait + kAnswerMargin) < kMaxPropagationTime);
   cr_assert(fixture.follower.contact() == StoreContact::kReachable);
-  fixture.store.Give(StoreAnswer{});
+  fixture.store.Respond(StoreAnswer{});
   cr_assert(fixture.follower.contact() == StoreContact::kUnreachable);
-  cr_assert_eq(fixture.silences, 1);
+  cr_assert_eq(fixture.call_failures, 1);
 }
 
 Test(store_follower, failed_call_is_repeated_after_a_pause) {
   FollowerFixture fixture;
   fixture.follower.Start();
-  fixture.store.Give(StoreAnswer{});
-  cr_assert(fixture.store.asked.empty());
-  fixture.Pass(kLongerThanAnyPause);
-  cr_assert_eq(fixture.store.asked.size(), 1);
+  fixture.store.Respond(StoreAnswer{});
+  cr_assert(fixture.store.calls.empty());
+  fixture.RunFor(kLongerThanAnyDelay);
+  cr_assert_eq(fixture.store.calls.size(), 1);
 }
 
 Test(store_follower, peer_gets_just_what_it_lacks) {
   FollowerFixture fixture;
   fixture.follower.Start();
-  fixture.store.Answer({{"a", "", 4, false}, {"b", "", 5, false}}, 7);
-  fixture.store.Answer({{"c", "", 8, false}, {"b", "", 9, true}}, 9);
+  fixture.store.RespondWithRows({{"a", "", 4, false}, {"b", "", 5, false}}, 7);
+  fixture.store.RespondWithRows({{"c", "", 8, false}, {"b", "", 9, true}}, 9);
   const StoreChanges changes = fixture.follower.ChangesAfter(7);
-  cr_assert_not(changes.whole);
+  cr_assert_not(changes.is_full);
   cr_assert_eq(changes.rows.size(), 2);
   cr_assert_eq(changes.version, 9);
   cr_assert(fixture.follower.ChangesAfter(9).rows.empty());
 }
 
-Test(store_follower, peer_that_knows_nothing_gets_all) {
+Test(store_follower, peer_without_a_copy_gets_all_rows) {
   FollowerFixture fixture;
   fixture.follower.Start();
-  fixture.store.Answer({{"a", "", 4, false}}, 7);
+  fixture.store.RespondWithRows({{"a", "", 4, false}}, 7);
   const StoreChanges changes = fixture.follower.ChangesAfter(0);
-  cr_assert(changes.whole);
+  cr_assert(changes.is_full);
   cr_assert_eq(changes.rows.size(), 1);
 }
 
@@ -161,27 +162,27 @@
 Test(store_follower, old_row_does_not_bring_back_a_deleted_one) {
   FollowerFixture fixture;
   fixture.follower.Start();
-  fixture.store.Answer({{"a", "", 4, false}}, 7);
-  fixture.follower.Offer({{{"a", "", 9, true}}, 9, false});
-  fixture.store.Answer({{"a", "", 8, false}}, 8);
+  fixture.store.RespondWithRows({{"a", "", 4, false}}, 7);
+  fixture.follower.MergePeerCopy({{{"a", "", 9, true}}, 9, false});
+  fixture.store.RespondWithRows({{"a", "", 8, false}}, 8);
   cr_assert_eq(fixture.changes, std::vector<std::string>{"-a"});
 }
 
 // Load: calls to the store are billed, and a reader of each data centre makes
 // one for each time that a call is held. Where changes have more time, calls
 // are held for longer.
-Test(store_follower, call_is_held_longer_where_changes_have_more_time) {
-  constexpr Duration kHeldNear = std::chrono::milliseconds(700);
+Test(store_follower, longer_propagation_time_gives_a_longer_poll_timeout) {
+  constexpr Duration kTimeoutForShortLimit = std::chrono::milliseconds(700);
   FollowerFixture fixture(std::chrono::seconds(4));
   fixture.follower.Start();
-  fixture.store.Answer({}, 7);
-  cr_assert(fixture.store.longest_wait >= 2 * kHeldNear);
+  fixture.store.RespondWithRows({}, 7);
+  cr_assert(fixture.store.max_wait >= 2 * kTimeoutForShortLimit);
 }
 
 // Load: a whole data centre asks one daemon for thousands of rows. Each answer
 // was the whole table; they waited in its memory for a link that takes seconds
 // over them, until the process was ended for it.
-Test(store_follower, large_table_is_told_in_parts_that_each_are_a_whole_state) {
+Test(store_follower, large_table_is_copied_in_parts_that_are_each_consistent) {
   constexpr std::size_t kRows = 3000;
   const std::string value(200, 'x');
   std::vector<StoredRow> rows;
@@ -191,7 +192,7 @@
   }
   FollowerFixture source;
   source.follower.Start();
-  source.store.Answer(rows, 5000);
+  source.store.RespondWithRows(rows, 5000);
   PeerFixture asker(source);
   std::size_t told = 0;
   while (asker.follower.newest_change() < source.follower.newest_change()) {
@@ -200,7 +201,7 @@
     cr_assert_leq(part.rows.size(), 400);
     cr_assert_eq(part.rows.size() % 2, 0);
     told += part.rows.size();
-    asker.follower.Offer(part);
+    asker.follower.MergePeerCopy(part);
   }
   cr_assert_eq(told, kRows);
 }
@@ -208,58 +209,60 @@
 // A peer read the table a moment before this daemon did, and lacks what changed
 // between. It was handed the whole table again: all daemons start together, so
 // each asked each for it.
-Test(store_follower, peer_that_read_before_gets_the_changes_and_what_is_left) {
+Test(store_follower,
+     peer_with_an_older_read_gets_the_changes_and_the_live_keys) {
   FollowerFixture later;
   later.follower.Start();
-  later.store.Answer({{"a", "", 4, false}, {"c", "", 9, false}}, 9);
+  later.store.RespondWithRows({{"a", "", 4, false}, {"c", "", 9, false}}, 9);
   PeerFixture before(later);
   before.follower.Start();
-  before.store.Answer({{"a", "", 4, false}, {"b", "", 5, false}}, 7);
+  before.store.RespondWithRows({{"a", "", 4, false}, {"b", "", 5, false}}, 7);
   const StoreChanges changes =
       later.follower.ChangesAfter(before.follower.newest_change());
-  cr_assert_not(changes.whole);
+  cr_assert_not(changes.is_full);
   cr_assert_eq(changes.rows.size(), 1);
-  before.follower.Offer(changes);
+  before.follower.MergePeerCopy(changes);
   cr_assert_eq(before.changes, (std::vector<std::string>{"-b", "+c"}));
   cr_assert_eq(before.follower.newest_change(), 9);
 }
 
 // A row that this daemon learnt after the peer had listed its own must stay.
-Test(store_follower, row_newer_than_a_peers_list_is_kept) {
+Test(store_follower, row_newer_than_the_live_keys_of_a_peer_is_kept) {
   FollowerFixture fixture;
   fixture.follower.Start();
-  fixture.store.Answer({{"a", "", 4, false}, {"new", "", 12, false}}, 12);
+  fixture.store.RespondWithRows({{"a", "", 4, false}, {"new", "", 12, false}},
+                                12);
   StoreChanges changes;
   changes.version = 9;
-  changes.listed_version = 9;
-  changes.listed = {1};
-  fixture.follower.Offer(changes);
+  changes.live_keys_version = 9;
+  changes.live_key_hashes = {1};
+  fixture.follower.MergePeerCopy(changes);
   cr_assert_eq(fixture.changes, std::vector<std::string>{"-a"});
 }
 
 // Load: all daemons start at once, and one of each data centre is to follow the
 // store. A call of each, made before it knew the others, was billed.
-Test(store_follower, does_not_follow_until_it_is_to) {
+Test(store_follower, does_not_follow_until_following_is_set) {
   FollowerFixture fixture;
   PeerFixture other(fixture);
   other.follower.Start();
-  other.store.Answer({{"a", "", 4, false}}, 7);
-  cr_assert(other.store.asked.empty());
+  other.store.RespondWithRows({{"a", "", 4, false}}, 7);
+  cr_assert(other.store.calls.empty());
   other.follower.SetFollowing(true);
-  cr_assert_eq(other.store.asked.size(), 1);
+  cr_assert_eq(other.store.calls.size(), 1);
 }
 
 // Daemons start before the first backend server does, and read an empty table.
 // The one that follows the store tells of the servers; the others took that for
 // a copy which they did not need, asked for it for ever, and served nobody.
-Test(store_follower, copy_is_taken_after_an_empty_table_was_read) {
+Test(store_follower, peer_copy_is_merged_after_an_empty_table_was_read) {
   FollowerFixture source;
   source.follower.Start();
-  source.store.Answer({{"a", "", 4, false}}, 7);
+  source.store.RespondWithRows({{"a", "", 4, false}}, 7);
   PeerFixture other(source);
   other.follower.Start();
-  other.store.Answer({}, 2);
-  other.follower.Offer(
+  other.store.RespondWithRows({}, 2);
+  other.follower.MergePeerCopy(
       source.follower.ChangesAfter(other.follower.newest_change()));
   cr_assert_eq(other.changes, std::vector<std::string>{"+a"});
   cr_assert_eq(other.follower.newest_change(), 4);
