--- a/packages/gateway/include/gentianroute/gateway/cluster.h
+++ b/packages/gateway/include/gentianroute/gateway/cluster.h
@@ -27,26 +27,29 @@
 
 namespace gentianroute::gateway {
 
-/// @brief Whether a beat tells what its daemon has at the backend servers.
+/// @brief Whether a heartbeat contains the load that its daemon puts on backend
+/// servers.
 enum class LoadReport : std::uint8_t { kIncluded, kOmitted };
 
-/// @brief What a daemon does with what its peers say and ask.
+/// @brief Receives the messages and calls of peers, and supplies the contents
+/// of heartbeats and store copies.
 class ClusterHandler {
  public:
   virtual ~ClusterHandler() = default;
-  /// @brief Adds what peers should know, apart from who this daemon is.
+  /// @brief Adds everything to a heartbeat except the identity of this daemon.
   virtual void FillHeartbeat(schema::Beat::Builder heartbeat,
                              LoadReport load) = 0;
   virtual void OnHeartbeat(schema::Beat::Reader heartbeat) = 0;
-  /// @brief A peer is silent, or takes no connection.
+  /// @brief A peer was lost: its heartbeats stopped, or it refuses connections.
   virtual void OnPeerGone(std::string_view peer) = 0;
-  /// @brief Runs a group for a peer; `done` is called once unless the hold is
-  /// let go before.
+  /// @brief Runs a group for a peer; `done` is called once, unless the returned
+  /// object is destroyed before.
   virtual std::unique_ptr<GroupHold> RunGroup(std::string_view service,
                                               std::string_view data_centre,
                                               routing::StageGroup group,
                                               GroupDone done) = 0;
-  /// @brief Results of servers that this daemon schedules are of no more use.
+  /// @brief Peers no longer need these results, which are held by servers that
+  /// this daemon schedules.
   virtual void OnReleased(std::string_view service,
                           std::string_view data_centre,
                           std::vector<std::string> results) = 0;
@@ -56,12 +59,13 @@
   virtual void OnStoreCopy(schema::StoreCopy::Reader copy) = 0;
 };
 
-/// @brief The daemons of one deployment, as one of them sees the others.
+/// @brief Communication between the daemons of one deployment.
 ///
-/// Each learns where the others are from rows in the store, and that they live
-/// from datagrams that they send each other. So beyond an outage of the store
-/// they still find each other. `Membership` decides who is believed to live and
-/// whom this daemon tells what; this class sends and receives.
+/// A daemon learns the addresses of the others from rows in the store, and
+/// which of them are alive from the heartbeat datagrams that they send each
+/// other. They thus stay in contact during an outage of the store. `Membership`
+/// decides which peers are alive and which ones get heartbeats; this class
+/// sends and receives.
 class Cluster {
  public:
   Cluster(EventLoop& loop,
@@ -71,12 +75,13 @@
   ~Cluster();
 
   void Start();
-  /// @brief Services whose servers daemons schedule.
+  /// @brief Sets the services whose servers are scheduled by daemons.
   void SetStageServices(std::vector<std::string> services);
-  /// @brief Tells the others that this daemon goes; they hand it no more work.
+  /// @brief Tells the peers that this daemon is leaving; they send it no more
+  /// work.
   void AnnounceLeaving();
 
-  /// @brief The daemon that schedules a pool.
+  /// @brief Returns the daemon that schedules a pool.
   const std::string& SchedulerOf(const PoolKey& pool) const {
     return members_.SchedulerOf(pool);
   }
@@ -84,28 +89,28 @@
   std::size_t live_daemons() const { return members_.live_daemons(); }
   bool IsStoreReader() const { return members_.IsStoreReader(); }
 
-  /// @brief Hands a group to another daemon; as PeerCalls::RunGroup.
-  /// @param peer one that SchedulerOf has named
+  /// @brief Sends a group to another daemon, as PeerCalls::RunGroup does.
+  /// @param peer name returned by SchedulerOf
   std::unique_ptr<GroupHold> RunGroupAt(
       std::string_view peer,
       const PoolKey& pool,
       const routing::StageGroup& group,
       std::function<void(std::optional<GroupOutcome>)> done);
 
-  /// @brief Tells the scheduler of a pool which results are of no more use.
-  /// @param peer one that SchedulerOf has named
+  /// @brief Tells the scheduler of a pool which results are no longer needed.
+  /// @param peer name returned by SchedulerOf
   void ReleaseAt(std::string_view peer,
                  const PoolKey& pool,
                  std::span<const std::string> results);
 
-  /// @brief Whom news reaches at once; the others hear it from those, or with
-  /// the next beat. A later kind includes those before it.
+  /// @brief Peers that get an update immediately, in ascending order; the
+  /// others get it by gossip or with the next regular heartbeat.
   enum class UpdateScope : std::uint8_t { kGossip, kDataCentre };
-  /// @brief Tells peers at once what has changed here.
+  /// @brief Sends a heartbeat with this daemon's changed state immediately.
   void SendUpdate(UpdateScope scope);
 
-  /// @brief Asks a near peer that knows something newer for its copy. One
-  /// question is under way at a time.
+  /// @brief Asks the nearest peer that has newer rows of the store for a copy.
+  /// Does nothing while an earlier call is in progress.
   void FetchStoreCopy(std::uint64_t deployment_version,
                       std::uint64_t servers_version);
 
--- a/packages/gateway/include/gentianroute/gateway/detail/cluster_messages.h
+++ b/packages/gateway/include/gentianroute/gateway/detail/cluster_messages.h
@@ -9,8 +9,8 @@
 #include "gentianroute/gateway/cluster.h"
 #include "gentianroute/routing/stage_pool.h"
 
-/// Groups and their outcomes as daemons send them to each other. Times travel
-/// as what is left, since no two daemons share a clock.
+/// Encoding of groups and their outcomes in messages between daemons. Times are
+/// encoded relative to now, since the clocks of daemons differ.
 namespace gentianroute::gateway::detail {
 
 void WriteGroup(TimePoint now,
--- a/packages/gateway/include/gentianroute/gateway/detail/membership_times.h
+++ b/packages/gateway/include/gentianroute/gateway/detail/membership_times.h
@@ -7,15 +7,17 @@
 
 namespace gentianroute::gateway::detail {
 
-/// Heirs are few, so that their number needs no bound by rate. Five of these
-/// are less than a second.
+/// Interval of heartbeats to standbys. There are few of them, so that their
+/// heartbeats need no rate limit. Five intervals are less than a second.
 inline constexpr Duration kStandbyInterval = std::chrono::milliseconds(150);
-/// Watching is cheap; a silence is noticed so much later than it could be.
+/// Maximum time between two rounds; a loss is detected at most this much late.
 inline constexpr Duration kMaxRoundInterval = std::chrono::milliseconds(200);
-/// Lost datagrams come two or three in a row now and then; five are a failure.
+/// Missed heartbeats after which a peer is lost. Networks occasionally drop two
+/// or three datagrams in a row.
 inline constexpr int kMaxMissedHeartbeats = 5;
-/// What all must know at once is told so often, as some datagrams get lost:
-/// that a scheduler is lost, that it is not, that a daemon goes.
+/// Consecutive rounds that go to all peers, since some datagrams get lost. They
+/// report the loss of a scheduler, refute a loss, or announce a daemon that
+/// leaves.
 inline constexpr int kBroadcastRounds = 3;
 
 }  // namespace gentianroute::gateway::detail
--- a/packages/gateway/include/gentianroute/gateway/membership.h
+++ b/packages/gateway/include/gentianroute/gateway/membership.h
@@ -19,7 +19,7 @@
 
 namespace gentianroute::gateway {
 
-/// @brief What a daemon tells of itself in each beat.
+/// @brief State of a daemon, as it reports it in each heartbeat.
 struct DaemonState {
   std::string name;
   std::uint64_t incarnation = 0;  ///< differs for each start of its process
@@ -27,29 +27,33 @@
   std::uint16_t port = 0;
   std::string data_centre;
   bool leaving = false;
-  double processor_share = 0;  ///< cores that it may use
+  double processor_share = 0;  ///< CPU cores that it may use
   StoreContact store = StoreContact::kNotAsked;
   std::uint64_t deployment_version = 0;
   std::uint64_t servers_version = 0;
-  std::vector<PoolKey> pools;    ///< that it schedules
-  bool has_quarantined = false;  ///< knows of a request that crashes servers
-  /// Within this the receiver hears it again; 0: it need not.
+  std::vector<PoolKey> pools;    ///< whose scheduler it is
+  bool has_quarantined = false;  ///< reports quarantined requests
+  /// Maximum time until the next heartbeat to the receiver; 0 if the daemon
+  /// sends it none regularly.
   Duration heartbeat_interval{};
 };
 
-/// @brief The daemons of one deployment as one of them believes them to be, and
-/// whom it tells what. No I/O: the time is an argument.
+/// @brief One daemon's view of the daemons of its deployment: which of them are
+/// alive, and which of them it sends heartbeats to and when. Does no I/O; the
+/// current time is passed in.
 ///
-/// Beats go often to the daemons of the own data centre, whose number does not
-/// grow with the fleet, and seldom to the others: in a large fleet only daemons
-/// that schedule a pool are known elsewhere. Such a daemon tells everyone when
-/// it begins to, and beats fast to its heirs, who would be next; the one who
-/// takes over tells everyone. So a lost scheduler is passed by soon at any
-/// size, and what a daemon sends hardly grows. News goes by rumour: a few hear
-/// it at once and tell a few more.
+/// Heartbeats are frequent within a data centre, whose number of daemons does
+/// not grow with the fleet, and rare between data centres. In a large fleet
+/// only the daemons that schedule a pool are known in other data centres. A
+/// daemon that becomes a scheduler broadcasts this to all peers, and sends
+/// frequent heartbeats to its standbys, the daemons that rank next for its
+/// pools. The standby that takes over broadcasts in turn. A lost scheduler is
+/// thus replaced equally fast at any fleet size, while the rate of datagrams
+/// that a daemon sends hardly grows. Other updates spread by gossip: each
+/// daemon forwards them to a few random peers.
 class Membership {
  public:
-  /// @brief How near another daemon is; the nearest first.
+  /// @brief Network distance of a peer, in ascending order.
   enum class Distance : std::uint8_t {
     kSameDataCentre,
     kSameRegion,
@@ -65,101 +69,111 @@
   using Targets = std::vector<const Peer*>;
 
   /// @param regions region of each data centre
-  /// @param seed of the choice whom a rumour reaches
+  /// @param seed seed of the random choice of gossip targets
   Membership(TimePoint now,
              DaemonState own,
              std::map<std::string, std::string, std::less<>> regions,
              std::uint64_t seed);
 
   const DaemonState& own() const { return own_; }
-  /// @brief What this daemon does for others, as far as it says how often they
-  /// have to hear of it.
+  /// @brief Sets the pools that this daemon schedules and whether it reports
+  /// quarantined requests. Both determine how often it sends heartbeats.
   void UpdateOwnState(std::vector<PoolKey> pools, bool has_quarantined);
-  /// @brief Services whose pool in the own data centre a daemon of it
-  /// schedules.
+  /// @brief Sets the stage services whose pools are scheduled within each data
+  /// centre.
   void SetStageServices(std::vector<std::string> services);
-  /// @brief This daemon goes; it schedules no pool from now on, and the next
-  /// rounds tell everyone.
+  /// @brief Marks this daemon as leaving: it schedules no pool from now on, and
+  /// the next heartbeat rounds go to all peers.
   void Leave();
   bool IsSelf(std::string_view daemon) const { return daemon == own_.name; }
-  /// @brief The peer of this name; null if nothing is known of it.
+  /// @brief Returns the peer of this name; null if it is unknown.
   const Peer* Find(std::string_view name) const;
 
-  /// @brief Rows of the store say where daemons are.
-  /// @return those that have not been heard; they should be told that this
-  /// daemon lives, and those whom it has to know answer
+  /// @brief Adds the daemons that have a row in the store.
+  /// @return the peers that are not alive yet. The caller sends them a
+  /// heartbeat; those that have to send heartbeats to this daemon reply with
+  /// one.
   Targets OnRows(std::span<const DaemonState> rows);
 
   enum class Arrival : std::uint8_t { kKnown, kNew, kRestarted };
-  /// @brief A peer's beat has come. One that is new or has restarted should be
-  /// told that this daemon lives, if it IsToldOf() this daemon.
+  /// @brief Records a heartbeat of a peer. The caller replies with a heartbeat
+  /// to a peer that is new or has restarted, if SendsHeartbeatsTo() it.
   Arrival OnHeartbeat(TimePoint now, DaemonState state);
 
-  /// @brief A peer takes no connection, though its beats may be recent: its
-  /// process has ended, or its host.
-  /// @return whether it was taken for alive
+  /// @brief Marks a peer as lost that refuses connections, even if its last
+  /// heartbeat is recent: its process or its host has failed.
+  /// @return whether the peer was considered alive
   bool OnUnreachable(std::string_view name);
 
   enum class LossReport : std::uint8_t { kStale, kNew, kAboutSelf };
-  /// @brief Another daemon has lost one of its data centre. If that is this
-  /// daemon, the next rounds tell everyone that it lives.
+  /// @brief Handles the report of a peer that another daemon of its data centre
+  /// was lost. If the report is about this daemon, the next heartbeat rounds go
+  /// to all peers, to refute it.
   LossReport OnLossReport(TimePoint now,
                           std::string_view name,
                           std::uint64_t incarnation);
 
-  /// @brief A peer that has been silent for too long.
+  /// @brief A peer whose heartbeats have stopped.
   struct LostPeer {
     std::string name;
-    Duration silence;
+    Duration silence;  ///< since its last heartbeat
   };
-  /// @brief Finds peers that have become silent. If this daemon schedules a
-  /// pool of one of them now, the next rounds tell everyone.
+  /// @brief Marks peers as lost whose heartbeats have stopped. If this daemon
+  /// takes over a pool of one of them, the next heartbeat rounds go to all
+  /// peers.
   std::vector<LostPeer> DetectLostPeers(TimePoint now);
 
-  /// @brief Peers of the own data centre that were lost a short time ago, for
-  /// those who hear of it from here only.
+  /// @brief Returns the peers of the own data centre that were lost recently.
+  /// Heartbeats report them to daemons that have not noticed.
   Targets RecentlyLost(TimePoint now) const;
 
-  /// @brief Whether a peer gets this daemon's beats.
+  /// @brief Whether this daemon sends heartbeats to a peer, beyond broadcast
+  /// rounds.
   bool SendsHeartbeatsTo(const Peer& peer) const;
-  /// @brief Time until the next round of beats, and of watching.
+  /// @brief Returns the time until the next heartbeat round, which also checks
+  /// for lost peers.
   Duration UntilNextRound(TimePoint now) const;
-  /// @brief Whom this round of beats goes to.
+  /// @brief Returns the recipients of this heartbeat round and schedules the
+  /// next one.
   Targets HeartbeatTargets(TimePoint now);
-  /// @brief Time from one beat to this peer to the next, at most; 0 if it gets
-  /// none regularly, and is not to miss them.
+  /// @brief Returns the maximum time between heartbeats to a peer; 0 if it gets
+  /// none regularly and must not consider this daemon lost without them.
   Duration HeartbeatIntervalTo(const Peer& peer) const;
-  /// @brief Whom news goes to at once, chosen anew each time.
+  /// @brief Returns random peers that get an update immediately; chosen anew
+  /// each time.
   Targets GossipTargets();
-  /// @brief All known peers of the own data centre.
+  /// @brief Returns all known peers of the own data centre, alive or not.
   Targets DataCentrePeers() const;
-  /// @brief All known peers.
+  /// @brief Returns all known peers, alive or not.
   Targets AllPeers() const;
-  /// @brief Whether beats to a peer come often enough for what they say of load
-  /// to be of use there.
+  /// @brief Whether heartbeats to a peer are frequent enough for the server
+  /// load in them to be useful there.
   bool SendsLoadTo(const Peer& peer) const;
 
-  /// @brief The daemon that schedules a pool: the same in the eyes of all that
-  /// see the same daemons.
-  /// @complexity linear in daemons after a change of them, else logarithmic
+  /// @brief Returns the daemon that schedules a pool. All daemons with the same
+  /// view of the fleet compute the same one.
+  /// @complexity linear in the number of daemons after a change of them,
+  /// otherwise logarithmic
   const std::string& SchedulerOf(const PoolKey& pool) const;
-  /// @brief Whether this daemon is to follow the store's changes for its data
-  /// centre: nobody before it, in an order that all agree on, does so or could.
+  /// @brief Whether this daemon reads the store's changes for its data centre.
+  /// It does unless a live daemon there that ranks higher reads them or can do
+  /// so.
   bool IsStoreReader() const;
-  /// @brief The peer to ask for what is newer in the store; null if none has
-  /// it.
+  /// @brief Returns the nearest peer that has newer rows of the store than
+  /// these versions; null if there is none.
   const Peer* StoreCopySource(std::uint64_t deployment_version,
                               std::uint64_t servers_version) const;
 
-  /// @brief Whether there are so few daemons that each may know all at once.
+  /// @brief Whether the fleet is small enough to send each update to all peers.
   bool IsSmallFleet() const;
-  /// @brief Daemons that share what all have together, this one included. Those
-  /// elsewhere count whether they are heard or not, as most keep silent there;
-  /// so a share is rather too small than too large.
+  /// @brief Returns the number of daemons that share fleet-wide budgets,
+  /// including this one. Peers in other data centres count whether they are
+  /// alive or not, as most of them send no heartbeats here. The share of each
+  /// daemon is thus rather too small than too large.
   std::size_t live_daemons() const;
 
  private:
-  /// Whom beats go to at one rate; the first three as in Nearness.
+  /// Peers with the same heartbeat rate. The first three values match Distance.
   enum class RecipientClass : std::uint8_t {
     kSameDataCentre,
     kSameRegion,
@@ -174,20 +188,22 @@
   Duration IntervalOf(RecipientClass recipients, bool idle) const;
   RecipientClass RecipientClassOf(const Peer& peer) const;
   bool IsStandby(const Peer& peer) const;
-  /// The best of all that live for a pool, the first its scheduler.
+  /// Returns the highest-ranked live daemons for a pool in descending order;
+  /// the first one is its scheduler.
   std::vector<std::string> TopRanked(const PoolKey& pool,
                                      std::size_t max_count) const;
   void UpdateStandbys();
-  /// Whether this daemon is one that those elsewhere have to know.
+  /// Whether this daemon sends heartbeats to the other data centres on behalf
+  /// of its own.
   bool RepresentsDataCentre(TimePoint now) const;
   bool IsIdle() const;
   bool MarkLost(Peer& peer);
   void OnLost(TimePoint now, const Peer& peer);
   void InvalidateRanks();
   bool TakesOverFrom(const Targets& lost) const;
-  /// Whether this daemon itself stood still and has not yet read what came.
+  /// Whether this process was suspended, so that received datagrams may be
+  /// unread.
   bool WasSuspended(TimePoint now);
-  /// Peers for which a predicate of one holds.
   template <typename Predicate>
   Targets SelectPeers(Predicate predicate) const;
   void AddRandom(Targets& targets, Targets from, std::size_t max_count);
@@ -196,7 +212,7 @@
   std::map<std::string, std::string, std::less<>> regions_;
   std::mt19937_64 random_;
   std::map<std::string, std::unique_ptr<Peer>, std::less<>> peers_;
-  std::array<std::int64_t, 3> peer_counts_{};  ///< of peers, by nearness
+  std::array<std::int64_t, 3> peer_counts_{};  ///< indexed by Distance
   std::array<TimePoint, kRecipientClasses> next_round_at_{};
   int broadcast_rounds_ = 0;
   TimePoint started_{};
@@ -204,10 +220,10 @@
   bool represents_data_centre_ =
       false;  ///< for its data centre, to those elsewhere
   TimePoint last_check_{};
-  TimePoint last_denial_{};  ///< its own loss
+  TimePoint last_denial_{};  ///< of a report that this daemon was lost
   std::set<std::string, std::less<>> standbys_;
   bool standbys_valid_ = false;
-  /// Peers of the own data centre, by the time of their loss.
+  /// Time of loss of lost peers of the own data centre.
   std::map<std::string, TimePoint, std::less<>> lost_at_;
   mutable std::map<PoolKey, std::string> schedulers_;
 };
--- a/packages/gateway/include/gentianroute/gateway/store.h
+++ b/packages/gateway/include/gentianroute/gateway/store.h
@@ -11,13 +11,14 @@
 
 namespace gentianroute::gateway {
 
-/// @brief The tables that a daemon uses in the platform's store.
+/// @brief Tables that a daemon uses in the platform's store.
 enum class StoreTable : std::uint8_t {
-  kDeployment,  ///< what operators want; one row
-  kServers,     ///< a row for each backend server
-  kDaemons,     ///< a row for each daemon of ours
+  kDeployment,  ///< deployment as set by operators; one row
+  kServers,     ///< one row for each backend server
+  kDaemons,     ///< one row for each daemon
 };
 
+/// @brief Row of a table, or its deletion.
 struct StoredRow {
   std::string key;
   std::string value;
@@ -25,35 +26,36 @@
   bool deleted = false;
 };
 
-/// @brief What the store answered, if it did.
+/// @brief Result of a call to the store.
 struct StoreAnswer {
   enum class Kind : std::uint8_t {
     kRows,
-    kHistoryGone,  ///< the changes asked for are no longer kept
-    kNone,         ///< refused, broken, or no answer in time
+    kHistoryGone,  ///< the store no longer keeps the requested changes
+    kNone,         ///< refused, connection broken, or timed out
   };
   Kind kind = Kind::kNone;
   std::vector<StoredRow> rows;
   std::uint64_t version = 0;  ///< the newest version of the store
-  std::string detail;         ///< why there is none, for the log
+  std::string detail;         ///< reason of a failure, for the log
 };
 
-/// @brief The platform's store; one client for all its uses.
+/// @brief Client of the platform's store, shared by all its users.
 class Store {
  public:
   using Done = std::function<void(StoreAnswer)>;
 
   virtual ~Store() = default;
-  /// @brief All rows of a table as of one moment.
+  /// @brief Reads a consistent snapshot of a table.
   virtual void Read(StoreTable table, Done done) = 0;
-  /// @brief Changes after a version, as soon as there is one.
-  /// @param wait the store holds the call for this long if there is none
+  /// @brief Waits for changes after a version and returns them.
+  /// @param wait maximum time for which the store holds the call while there
+  /// are none
   virtual void Follow(StoreTable table,
                       std::uint64_t after,
                       Duration wait,
                       Done done) = 0;
-  /// @brief Writes a row without a condition. It may be written although no
-  /// answer comes.
+  /// @brief Writes a row unconditionally. The row may have been written even if
+  /// the call fails.
   virtual void Put(StoreTable table,
                    std::string_view key,
                    std::string_view value,
--- a/packages/gateway/include/gentianroute/gateway/store_contact.h
+++ b/packages/gateway/include/gentianroute/gateway/store_contact.h
@@ -5,9 +5,9 @@
 
 namespace gentianroute::gateway {
 
-/// @brief What a daemon knows of the store from its own calls.
+/// @brief Reachability of the store according to a daemon's own calls.
 enum class StoreContact : std::uint8_t {
-  kNotAsked,  ///< others ask it, and this daemon takes their copy
+  kNotAsked,  ///< makes no calls; copies the rows from its peers
   kReachable,
   kUnreachable,
 };
--- a/packages/gateway/include/gentianroute/gateway/store_follower.h
+++ b/packages/gateway/include/gentianroute/gateway/store_follower.h
@@ -13,39 +13,40 @@
 
 namespace gentianroute::gateway {
 
-/// @brief Rows that are newer than a version.
+/// @brief Rows of a table that are newer than a given version.
 struct StoreChanges {
   std::vector<StoredRow> rows;
-  std::uint64_t version = 0;  ///< that these are complete up to; 0: none
-  bool is_full = false;       ///< for one that knows nothing of the table yet
-  /// Hashes of the keys of all rows that there were at a version, for one that
-  /// can't be told all deletions before it; empty: it can.
+  std::uint64_t version = 0;  ///< the rows are complete up to it; 0: no rows
+  bool is_full = false;       ///< contains the whole table
+  /// Hashes of the keys of all rows that existed at `live_keys_version`, for a
+  /// receiver whose version is older than the oldest kept deletion. Empty if
+  /// `rows` contains the deletions itself.
   std::vector<std::uint64_t> live_key_hashes;
   std::uint64_t live_keys_version = 0;
 };
 
 /// @brief Keeps a copy of one of the store's tables.
 ///
-/// Reads it whole once. One daemon of a data centre then follows the changes,
-/// and the others take its copy: each call to the store costs money, and what
-/// one has read the others need not ask for. Versions only go forward: a read
-/// that lags behind what is known is dropped, so that a daemon never goes back
-/// to an older configuration.
+/// Reads the whole table once. One daemon of each data centre then follows the
+/// changes, and the others copy from it, since each call to the store is
+/// billed. Versions only increase: a read that is older than the copy is
+/// discarded, so that a daemon never returns to an older configuration.
 class StoreFollower {
  public:
-  /// @param rows all rows as they are now
+  /// @param rows all current rows of the table
   using OnRows = std::function<void(const std::vector<StoredRow>& rows)>;
   using OnChange = std::function<void(const StoredRow& row)>;
 
   struct Listener {
-    OnRows on_rows;      ///< the table was read whole
+    OnRows on_rows;      ///< the whole table was read
     OnChange on_change;  ///< one row changed
-    std::function<void(bool reachable)> on_reachable;  ///< lost or regained
+    std::function<void(bool reachable)> on_reachable;  ///< reachability changed
     std::function<void()>
-        on_call_failed;  ///< a call failed after one that did not
+        on_call_failed;  ///< first failed call after a successful one
   };
 
-  /// @param change_in_force time within which a change has to be known here
+  /// @param max_propagation_time limit for the time from a change in the store
+  /// to its arrival here
   StoreFollower(EventLoop& loop,
                 Store& store,
                 StoreTable table,
@@ -54,23 +55,24 @@
   ~StoreFollower();
 
   void Start();
-  /// @brief Whether this daemon is to follow the table's changes.
+  /// @brief Sets whether this daemon follows the table's changes itself.
   void SetFollowing(bool following);
-  /// @brief What a peer has read; taken if it is newer.
+  /// @brief Merges rows that a peer has read. Older ones are ignored.
   void MergePeerCopy(const StoreChanges& changes);
-  /// @brief What a peer does not know yet, the oldest first, as much of it as
-  /// fits into one message. What is left it asks for when it has taken this.
-  /// @param known newest change that the peer has
+  /// @brief Returns the changes that a peer does not have, oldest first, up to
+  /// the size of one message. The peer asks for the rest after it has merged
+  /// these.
+  /// @param known version of the newest change that the peer has
   StoreChanges ChangesAfter(std::uint64_t known) const;
 
   bool is_loaded() const { return is_loaded_; }
   bool reachable() const { return reachable_; }
   StoreContact contact() const;
-  /// @brief Time since the store last answered.
+  /// @brief Returns the time since the last successful call.
   Duration Age(TimePoint now) const { return now - answered_at_; }
-  /// @brief Version that this copy is up to.
+  /// @brief Returns the version that this copy is complete up to.
   std::uint64_t version() const { return version_; }
-  /// @brief Version of the newest change, deletions too.
+  /// @brief Returns the version of the newest change, which may be a deletion.
   std::uint64_t newest_change() const { return newest_change_; }
 
  private:
@@ -79,7 +81,7 @@
   void OnTable(const StoreAnswer& answer);
   void OnChanges(const StoreAnswer& answer);
   void ReplaceTable(const std::vector<StoredRow>& rows, std::uint64_t version);
-  /// Rows and deletions, the oldest first.
+  /// Rows and deletions, oldest first.
   std::vector<const StoredRow*> NewerThan(std::uint64_t known) const;
   void RemoveUnlisted(const StoreChanges& changes);
   void Apply(const StoredRow& row);
@@ -92,12 +94,12 @@
   EventLoop& loop_;
   Store& store_;
   StoreTable table_;
-  Duration long_poll_timeout_;  ///< of a call without news
+  Duration long_poll_timeout_;  ///< time for which the store holds a call
   Listener listener_;
   std::map<std::string, StoredRow, std::less<>> rows_;
-  /// Deleted rows, so that peers can be told of them.
+  /// Deleted rows, kept to tell peers of the deletions.
   std::map<std::string, StoredRow, std::less<>> tombstones_;
-  std::uint64_t tombstones_since_ = 0;  ///< older deletions are forgotten
+  std::uint64_t tombstones_since_ = 0;  ///< older deletions may be missing
   std::uint64_t version_ = 0;
   std::uint64_t newest_change_ = 0;
   bool following_ = false;
--- a/packages/gateway/src/cluster.cc
+++ b/packages/gateway/src/cluster.cc
@@ -26,7 +26,7 @@
   own.address = settings.peers.address;
   own.port = settings.peers.port;
   own.data_centre = settings.data_centre;
-  // The same rounding as in the beats: all have to see equal shares as equal.
+  // Rounded as in the heartbeats, so that all daemons compare equal values.
   own.processor_share = static_cast<float>(settings.processor_share);
   return own;
 }
@@ -67,13 +67,13 @@
 
 }  // namespace
 
-/// What peers may ask of this daemon.
+/// Calls that peers make to this daemon.
 class Cluster::Service final : public schema::Cluster::Server {
  public:
   explicit Service(Cluster& cluster) : cluster_(cluster) {}
 
   kj::Promise<void> runGroup(RunGroupContext context) override {
-    // The caller's request may end first; its waiting pieces then go.
+    // The caller's request may end first, which cancels the queued pieces.
     context.allowCancellation();
     const auto group = context.getParams().getGroup();
     const std::string service = group.getService();
@@ -236,8 +236,9 @@
   if (arrival != Membership::Arrival::kKnown) {
     OnPeerUp(peer);
   }
-  // Work for a scheduler must find its link standing. Among few daemons each
-  // may schedule; among many, those that do say so.
+  // The connection has to exist before there is work for the scheduler. In a
+  // small fleet every daemon may become one; in a large one, schedulers
+  // announce their pools.
   if (members_.IsSmallFleet() || !peer.state.pools.empty()) {
     calls_.EnsureConnected(peer.state);
   }
@@ -271,8 +272,9 @@
       .Field("peer", peer.state.name)
       .Field("incarnation", peer.state.incarnation);
   calls_.Disconnect(peer.state.name);
-  // It may have missed this daemon's last beat. Only it is told: telling all of
-  // each newcomer costs the cube of their number when all start at once.
+  // The peer may have missed this daemon's last heartbeat. Only the peer gets a
+  // reply: informing all others of each new peer would take a cubic number of
+  // datagrams when all daemons start at once.
   if (members_.SendsHeartbeatsTo(peer)) {
     Send({&peer});
   }
--- a/packages/gateway/src/membership.cc
+++ b/packages/gateway/src/membership.cc
@@ -14,10 +14,10 @@
 using detail::kMaxRoundInterval;
 using detail::kStandbyInterval;
 
-/// A round that comes so much later than it should tells of a process that was
-/// stopped or a host that froze.
+/// A round that is delayed by more than this means that the process was stopped
+/// or the host was suspended.
 constexpr Duration kSuspensionThreshold = std::chrono::milliseconds(300);
-/// Time in which a loss is told with each beat; some beats get lost.
+/// Time for which heartbeats report a loss; single heartbeats may be dropped.
 constexpr Duration kLossReportTime = std::chrono::seconds(3);
 
 }  // namespace
@@ -85,7 +85,8 @@
   Peer& peer = FindOrAddPeer(state.name);
   const DaemonState& before = peer.state;
   const bool restarted = before.incarnation != state.incarnation;
-  // One that will not be heard again can't be missed, so it is not relied on.
+  // The loss of a peer that sends no regular heartbeats can't be detected, so
+  // such a peer is never considered alive.
   const bool is_monitored = state.heartbeat_interval > Duration{0} ||
                             state.data_centre == own_.data_centre;
   const bool was_alive = std::exchange(peer.alive, is_monitored);
@@ -125,7 +126,8 @@
                                                 std::string_view name,
                                                 std::uint64_t incarnation) {
   if (IsSelf(name)) {
-    // All who missed it say so at once; one denial reaches all of them.
+    // All daemons that missed this one report it at once; one broadcast refutes
+    // them all.
     const bool is_new_report = incarnation == own_.incarnation &&
                                now - last_denial_ > kStandbyInterval;
     if (!is_new_report) {
@@ -140,7 +142,8 @@
     return LossReport::kStale;
   }
   Peer& peer = *found->second;
-  // Heard here since the teller began to miss it: it is back already.
+  // A heartbeat arrived here after the reporter's first missed one: the peer is
+  // back.
   const bool heard_since =
       now - peer.last_heartbeat < kStandbyInterval * (kMaxMissedHeartbeats - 1);
   if (peer.state.incarnation != incarnation || heard_since) {
@@ -159,7 +162,8 @@
   }
   lost_at_[peer.state.name] = now;
   if (TakesOverFrom(RecentlyLost(now))) {
-    // Daemons elsewhere hear too seldom from a scheduler to miss it soon.
+    // Daemons in other data centres get heartbeats of a scheduler too rarely to
+    // detect its loss soon.
     broadcast_rounds_ = kBroadcastRounds;
   }
 }
@@ -172,7 +176,8 @@
 std::vector<Membership::LostPeer> Membership::DetectLostPeers(TimePoint now) {
   std::vector<LostPeer> lost;
   if (WasSuspended(now)) {
-    // The others' beats wait unread. Judged now, all would seem to be lost.
+    // Heartbeats of the peers are still unread in the socket; without a new
+    // start of the timeouts all peers would be considered lost.
     for (const auto& [name, peer] : peers_) {
       peer->last_heartbeat = now;
     }
@@ -284,8 +289,8 @@
     if (!peer->alive || !newer) {
       continue;
     }
-    // Of equally near ones each daemon takes another, so that all who have the
-    // news hand it on, and not only the one that had it first.
+    // Each daemon picks a different one of equally distant peers, which spreads
+    // the load over all that have the newer rows.
     const std::pair rank(peer->distance, RendezvousWeight(own_.name, name));
     if (source == nullptr || rank < best) {
       source = peer.get();
--- a/packages/gateway/src/membership_heartbeats.cc
+++ b/packages/gateway/src/membership_heartbeats.cc
@@ -3,7 +3,7 @@
 #include "gentianroute/gateway/detail/membership_times.h"
 #include "gentianroute/gateway/membership.h"
 
-// Whom a daemon tells what, and how often.
+// Selection of heartbeat recipients and intervals.
 
 namespace gentianroute::gateway {
 namespace {
@@ -12,42 +12,44 @@
 using detail::kMaxRoundInterval;
 using detail::kStandbyInterval;
 
-/// How a daemon's beats to one audience are spaced: so many datagrams a second
-/// to all of it together, so that the cost of a daemon stays what it is however
-/// many there are.
+/// Rate limit for the heartbeats to one class of recipients. It bounds the
+/// datagrams per second to the whole class, so that the cost for a daemon does
+/// not depend on the fleet size.
 struct HeartbeatRate {
   std::int64_t heartbeats_per_second = 0;
   Duration min_interval{};
 };
 
-/// By nearness. Bytes between regions are billed by volume, and what a beat
-/// tells there is 20 ms old on arrival in any case.
+/// Indexed by Distance. Traffic between regions is billed by volume, and load
+/// figures are about 20 ms old there on arrival anyway.
 constexpr std::array<HeartbeatRate, 3> kRates = {{
     {90, std::chrono::milliseconds(100)},
     {30, std::chrono::milliseconds(100)},
     {20, std::chrono::milliseconds(300)},
 }};
-/// A daemon that schedules nothing and knows of no request that crashes servers
-/// has little to tell another region: what it has at servers there.
+/// An idle daemon, which schedules no pool and reports no quarantined request,
+/// only has its server load to report to other regions. Its interval there is
+/// longer by this factor.
 constexpr std::int64_t kIdleIntervalFactor = 3;
-/// The daemons of a data centre know each other so long after a start of all.
-/// Before, each would take itself for the one that schedules.
+/// Time in which the daemons of a data centre discover each other when all
+/// start together. Before it has passed, each daemon would consider itself the
+/// scheduler.
 constexpr Duration kDiscoveryTime = std::chrono::milliseconds(400);
-/// Heirs of a pool. One may be lost together with the scheduler.
+/// Standbys for each pool. One of them may fail together with the scheduler.
 constexpr std::size_t kStandbyCount = 2;
-/// Whom a rumour reaches at once, of the own data centre and of the others.
-/// Each who hears it tells as many: of a thousand, less than one waits for a
-/// beat.
+/// Gossip targets in the own data centre and elsewhere. Each recipient forwards
+/// to as many, so that of a thousand daemons less than one on average has to
+/// wait for a regular heartbeat.
 constexpr std::size_t kGossipFanoutDataCentre = 8;
 constexpr std::size_t kGossipFanoutElsewhere = 2;
-/// Among few daemons everyone hears the news at once, and is linked to as soon
-/// as it is heard.
+/// Up to this number of peers each update goes to all of them, and a connection
+/// to each is opened at its first heartbeat.
 constexpr std::size_t kSmallFleetPeers = 16;
-/// Load that was told longer ago belongs to requests that have ended.
+/// Load figures older than this belong to requests that have ended.
 constexpr Duration kMaxLoadAge = std::chrono::seconds(2);
-/// Stands for a pool that each data centre has: so one daemon of it is known
-/// elsewhere also where there are no stage services, and the store's news can
-/// be had from there.
+/// Name of a placeholder service that every data centre has. Its scheduler
+/// makes each data centre known to the others even without stage services, so
+/// that they can get newer rows of the store from there.
 constexpr std::string_view kNoService;
 
 }  // namespace
@@ -81,7 +83,8 @@
   }
   const bool is_regular = peer.distance == Distance::kSameDataCentre ||
                           represents_data_centre_ || SendsLoadTo(peer);
-  // Told as if this daemon were quiet: it may become so before the next beat.
+  // Uses the idle interval, since this daemon may become idle before the next
+  // heartbeat.
   return is_regular ? IntervalOf(RecipientClassOf(peer), true) : Duration{0};
 }
 
@@ -149,7 +152,7 @@
   if (std::exchange(represents_data_centre_, represents) != represents) {
     broadcast_rounds_ = kBroadcastRounds;
   }
-  // Former heirs have to learn that they will hear less often.
+  // Former standbys have to learn their new, longer interval.
   const auto former = standbys_;
   UpdateStandbys();
   const bool is_broadcast = broadcast_rounds_ > 0;
--- a/packages/gateway/src/store_follower.cc
+++ b/packages/gateway/src/store_follower.cc
@@ -12,11 +12,11 @@
 namespace gentianroute::gateway {
 namespace {
 
-/// How long the store holds a call without news. A daemon that is cut off from
-/// the store finds out only when this is over, and then the next one in order
-/// has to ask: two such times have to fit into the time in which a change must
-/// be in force, beside what the calls and the news of it take. Shorter costs
-/// calls, which are billed.
+/// Time for which the store holds a call when there is no change. A daemon that
+/// loses its connection to the store notices only after this time, and then the
+/// next daemon in rank makes a call. Two such times have to fit into the
+/// maximum propagation time together with the latency of the calls and of the
+/// update to the peers. Shorter times cause more calls, which are billed.
 Duration LongPollTimeout(Duration max_propagation_time) {
   constexpr Duration kPropagationTime = std::chrono::milliseconds(1100);
   constexpr Duration kMinTimeout = std::chrono::milliseconds(300);
@@ -25,20 +25,22 @@
                     kMaxTimeout);
 }
 
-/// Changes within this time come in one answer: hundreds of servers that start
-/// together would cost a call each. It is a small part of the time in which a
-/// change must be in force.
+/// Changes within this time are collected into one response. Without it,
+/// hundreds of servers that start together would cost a call each. It is a
+/// small part of the maximum propagation time.
 constexpr Duration kBatchInterval = std::chrono::milliseconds(120);
-/// Pause after a call that failed, doubled each time up to the last.
+/// Delay after a failed call, doubled with each further failure up to the
+/// maximum.
 constexpr Duration kInitialBackoff = std::chrono::milliseconds(60);
 constexpr Duration kMaxBackoff = std::chrono::milliseconds(500);
-/// Deletions that peers can still be told of one by one; a peer that lacks
-/// older ones gets the list of what is left.
+/// Deletions that are kept for peers. A peer that lacks older ones gets the
+/// keys of all remaining rows instead.
 constexpr std::size_t kMaxTombstones = 1000;
-/// A copy for a peer holds about so much. Whole tables, asked for by a whole
-/// data centre at once, fill the memory and the link of the one that has them.
+/// Approximate maximum size of a copy for a peer. When a whole data centre asks
+/// for a whole table at once, larger copies exhaust the memory and the link of
+/// the daemon that sends them.
 constexpr std::size_t kMaxCopyBytes = 64 * 1024;
-/// A single lost answer is no outage.
+/// Consecutive failures that count as an outage; a single one does not.
 constexpr std::uint32_t kOutageFailures = 2;
 
 constexpr std::array<std::string_view, 3> kTableNames = {"deployment",
@@ -107,8 +109,8 @@
   }
   OnCallSucceeded();
   if (is_loaded_ && answer.version < version_) {
-    // A copy that lags: what is known stays, and the read is repeated.
-    OnCallFailed("the store's answer is older than what is known");
+    // The store's replica is behind: keep the current rows and read again.
+    OnCallFailed("the store's answer is older than this daemon's copy");
     return;
   }
   ReplaceTable(answer.rows, answer.version);
@@ -130,8 +132,9 @@
     return;
   }
   OnCallSucceeded();
-  // A peer's newer copy may have come meanwhile; what it covers is old news,
-  // and an old row could bring back one that is deleted by now.
+  // A newer copy of a peer may have been merged during the call. Rows up to its
+  // version are ignored; an old row could restore one that has been deleted
+  // since.
   const std::uint64_t known = version_;
   for (const StoredRow& row : answer.rows) {
     if (row.version > known) {
@@ -148,7 +151,8 @@
 
 void StoreFollower::MergePeerCopy(const StoreChanges& changes) {
   if (changes.is_full && newest_change_ > 0) {
-    // It has read the store meanwhile, and asks again from where it is.
+    // The table was read from the store during the call; the next request to a
+    // peer starts from its version.
     return;
   }
   if (changes.is_full && !is_loaded_) {
@@ -180,7 +184,8 @@
     AddTombstone(row);
     listener_.on_change(row);
   }
-  // When these were deleted is not known, so nobody can be told of them alone.
+  // The versions of these deletions are unknown, so peers can't be told of them
+  // one by one.
   tombstones_since_ = std::max(tombstones_since_, changes.live_keys_version);
 }
 
@@ -195,7 +200,7 @@
     }
   };
   add(rows_);
-  // One that knows nothing has nothing to delete.
+  // A peer without any rows has none to delete.
   if (known > 0) {
     add(tombstones_);
   }
@@ -221,8 +226,8 @@
   changes.version = version_;
   std::size_t bytes = 0;
   for (const StoredRow* row : NewerThan(known)) {
-    // One write may have set several rows; a part of them is no state that the
-    // store was ever in.
+    // One write may set several rows. Splitting them would give the peer a
+    // state that the store was never in.
     const bool same_write =
         !changes.rows.empty() && changes.rows.back().version == row->version;
     if (bytes >= kMaxCopyBytes && !same_write) {
@@ -243,7 +248,7 @@
     newest_change_ = std::max(newest_change_, row.version);
     before.erase(row.key);
   }
-  // What is missing now was deleted some time before this read.
+  // Rows that are missing now were deleted before this read.
   for (auto& [key, row] : before) {
     AddTombstone({key, "", version, true});
   }
@@ -293,7 +298,7 @@
   if (!following_ && !call_pending_) {
     return StoreContact::kNotAsked;
   }
-  // One lost call is enough for another daemon to ask as well.
+  // One failed call is enough for another daemon to start calling the store.
   return reachable_ && failures_ == 0 ? StoreContact::kReachable
                                       : StoreContact::kUnreachable;
 }
--- a/packages/gateway/tests/membership_test.cc
+++ b/packages/gateway/tests/membership_test.cc
@@ -16,7 +16,7 @@
 constexpr Shape kTargetSize{810, 11, 5, 3};
 constexpr double kLossRate = 0.03;
 
-/// All started and settled; from then on datagrams get lost.
+/// Starts all daemons, lets them discover each other, then drops datagrams.
 struct FleetFixture {
   explicit FleetFixture(Shape shape) : fleet(shape) {
     fleet.StartAll();
@@ -34,13 +34,14 @@
   cr_assert(fleet.AgreeOnScheduler(fixture.pool));
   fleet.Kill(fleet.IndexOf(fleet.MembershipOf(0).SchedulerOf(fixture.pool)));
   const Duration taken = fleet.TimeToAgree(fixture.pool, 60 * kSecond);
-  // Its heirs miss five beats of 150 ms, and look each 150 ms.
+  // Its standbys miss five heartbeats of 150 ms and check every 150 ms.
   cr_assert_leq(taken / kMs, 1200);
 }
 
 }  // namespace
 
-// Work goes to a lost scheduler until its users know; a request lives 6 s.
+// Work is sent to a lost scheduler until the other daemons detect the loss, and
+// a request expires after 6 s.
 Test(membership, lost_scheduler_of_nine_daemons_is_replaced_in_time) {
   ExpectLostSchedulerIsReplaced(kNine);
 }
@@ -57,16 +58,17 @@
   for (int i = 0; i < 2; ++i) {
     const std::string next = fleet.MembershipOf(0).SchedulerOf(fixture.pool);
     fleet.Kill(fleet.IndexOf(next));
-    // Who is next is asked of one that believes the first to be lost.
+    // The second scheduler is computed by a daemon that considers the first one
+    // lost.
     fleet.MembershipOf(0).OnUnreachable(next);
   }
   const Duration taken = fleet.TimeToAgree(fixture.pool, 60 * kSecond);
   cr_assert_leq(taken / kMs, 3000);
 }
 
-// Load: all daemons start within 0.3 s, as after a loss of power. Told to all
-// of each newcomer, each daemon sent thousands of datagrams of its own accord;
-// the links stood full, and the configuration came late.
+// All daemons start within 0.3 s, as after a power failure. When a daemon told
+// all its peers of each new one, each daemon sent thousands of datagrams, which
+// saturated the links and delayed the configuration.
 Test(membership, simultaneous_start_costs_a_few_datagrams_for_each_peer) {
   for (const Shape& shape : {kHundreds, kTargetSize}) {
     VirtualFleet fleet(shape);
@@ -92,10 +94,9 @@
   }
 }
 
-// Load: all processes were killed and come back over some seconds. A daemon
-// that came after the schedulers elsewhere had told everyone of themselves did
-// not know them until their next beat, ten seconds later in a fleet of
-// hundreds.
+// All processes are killed and restart over some seconds. A daemon that started
+// after the schedulers in other data centres had broadcast must not wait for
+// their next regular heartbeat, which takes ten seconds in a fleet of hundreds.
 Test(membership, daemon_that_starts_late_knows_the_schedulers_elsewhere) {
   FleetFixture fixture(kHundreds);
   VirtualFleet& fleet = fixture.fleet;
@@ -110,8 +111,9 @@
   }
 }
 
-// Daemons whose data centre has lost the store take its news from elsewhere;
-// with no stage service there is no scheduler there that they would know.
+// Daemons whose data centre can't reach the store get its changes from other
+// data centres. Without stage services there is no scheduler there that they
+// would know.
 Test(membership,
      one_daemon_of_each_data_centre_is_known_without_stage_services) {
   VirtualFleet fleet(kHundreds);
@@ -127,8 +129,9 @@
   cr_assert_eq(known.size(), kHundreds.data_centres);
 }
 
-// Bytes between regions are billed. In a large fleet a daemon that schedules
-// nothing has nothing to say there that would not be old on arrival.
+// Traffic between regions is billed by volume. In a large fleet, a daemon that
+// schedules nothing only has load figures to send there, which would be out of
+// date on arrival.
 Test(membership, daemons_that_schedule_nothing_send_nothing_to_other_regions) {
   FleetFixture fixture(kHundreds);
   VirtualFleet& fleet = fixture.fleet;
@@ -143,7 +146,7 @@
   }
   cr_assert_leq(heard, 8);
   cr_assert(fleet.MembershipOf(0).Find(scheduler)->alive);
-  // They still count where all share a budget.
+  // They still count as users of fleet-wide budgets.
   cr_assert_eq(fleet.MembershipOf(0).live_daemons(), fleet.size());
 }
 
@@ -153,9 +156,9 @@
   cr_assert_eq(fixture.fleet.false_losses(), 0);
 }
 
-// A frozen scheduler wakes with its timers due and the others' beats unread. It
-// must not take all of them for lost, and must be believed again when it
-// speaks.
+// A suspended scheduler resumes with its timers due and its peers' heartbeats
+// unread. It must not consider all of them lost, and must be considered alive
+// again after its next heartbeat.
 Test(membership, suspended_scheduler_reports_no_loss_and_takes_over_again) {
   FleetFixture fixture(kHundreds);
   VirtualFleet& fleet = fixture.fleet;
@@ -184,8 +187,9 @@
   cr_assert_eq(fleet.MembershipOf(0).SchedulerOf(fixture.pool), scheduler);
 }
 
-// The one that knows of a change told everyone in its region, and so did each
-// who heard of it: the square of their number, for each change of one server.
+// Gossip keeps the cost of each change of a server low: when each daemon
+// forwarded an update to all peers of its region, the number of datagrams grew
+// with the square of the number of daemons.
 Test(membership, gossip_reaches_all_daemons_in_a_few_steps) {
   FleetFixture fixture(kTargetSize);
   VirtualFleet& fleet = fixture.fleet;
--- a/packages/gateway/tests/virtual_fleet.h
+++ b/packages/gateway/tests/virtual_fleet.h
@@ -23,11 +23,11 @@
 inline constexpr Duration kSecond = std::chrono::seconds(1);
 inline constexpr TimePoint kStart = TimePoint{} + std::chrono::seconds(10);
 
-/// Stages have work so long after a start.
+/// Time from a start until the stage pools have work.
 inline constexpr Duration kTimeToFirstWork = std::chrono::milliseconds(800);
 
-/// Daemons on virtual time that tell each other who lives, as `Cluster` does
-/// over its sockets. Datagrams are late and get lost.
+/// Daemons in virtual time that exchange heartbeats, as `Cluster` does over its
+/// sockets. Datagrams are delayed and get lost.
 class VirtualFleet {
  public:
   struct Shape {
@@ -50,11 +50,11 @@
   std::string DataCentre(std::size_t i) const {
     return "dc-" + std::to_string(i % shape_.data_centres);
   }
-  /// Of the daemons that start from now on.
+  /// Sets the stage services of the daemons that start from now on.
   void SetStageServices(std::vector<std::string> services) {
     stage_services_ = std::move(services);
   }
-  /// Its process starts, with all rows in the store already.
+  /// Starts a daemon's process. The store already has the rows of all daemons.
   void Start(std::size_t i) {
     Daemon& daemon = daemons_[i];
     daemon.runs = true;
@@ -75,16 +75,17 @@
     Send(i, daemon.members->OnRows(rows));
     Round(i, daemon.incarnation);
   }
-  /// In any order.
+  /// Starts all daemons at random times within a period.
   void StartAll(std::int64_t within_ms = 300) {
     for (std::size_t i = 0; i < daemons_.size(); ++i) {
       After(RandomUpTo(within_ms) * kMs, [this, i] { Start(i); });
     }
   }
-  /// Share of datagrams that get lost from now on.
+  /// Sets the fraction of datagrams that get lost from now on.
   void SetLossRate(double share) { loss_rate_ = share; }
   void Kill(std::size_t i) { daemons_[i].runs = false; }
-  /// Stops for a time; what comes meanwhile is read after its timers.
+  /// Suspends a daemon. Datagrams that arrive meanwhile are read after its
+  /// timers have run.
   void Freeze(std::size_t i, Duration time) {
     daemons_[i].frozen_until = now_ + time;
   }
@@ -106,12 +107,12 @@
   std::size_t IndexOf(std::string_view name) const {
     return index_.find(name)->second;
   }
-  /// Datagrams that a daemon has sent.
+  /// Number of datagrams that a daemon has sent.
   std::size_t sent(std::size_t i) const { return daemons_[i].sent; }
-  /// How often a peer was taken for lost that runs.
+  /// Number of times that a running peer was marked as lost.
   std::size_t false_losses() const { return false_losses_; }
 
-  /// Whether all that run name the same scheduler, one that runs.
+  /// Whether all running daemons compute the same scheduler, and it runs.
   bool AgreeOnScheduler(const PoolKey& pool) {
     std::set<std::string> named;
     for (std::size_t i = 0; i < daemons_.size(); ++i) {
@@ -121,7 +122,7 @@
     }
     return named.size() == 1 && runs(IndexOf(*named.begin()));
   }
-  /// Time until all agree, at most `limit`.
+  /// Runs until all daemons agree, for at most `limit`; returns the time taken.
   Duration TimeToAgree(const PoolKey& pool, Duration limit) {
     const TimePoint started_at = now_;
     while (!AgreeOnScheduler(pool) && now_ - started_at < limit) {
