--- a/packages/gateway/include/gentianroute/gateway/daemon_rows.h
+++ b/packages/gateway/include/gentianroute/gateway/daemon_rows.h
@@ -11,15 +11,15 @@
 
 namespace gentianroute::gateway {
 
-/// @brief The rows of the store by which daemons find each other.
+/// @brief The rows of the store by which daemons discover each other.
 ///
-/// Each daemon writes where it is and reads where the others are, once: those
-/// that it misses find it by its row. A row that is there from an earlier start
-/// is not written again. Calls to the store are billed, and all daemons may
-/// start at once.
+/// Each daemon writes its own address once and reads those of the others once:
+/// a daemon that starts later finds this one by its row and sends it a
+/// heartbeat. An unchanged row from an earlier start is not written again,
+/// since calls to the store are billed and all daemons may start at once.
 class DaemonRows {
  public:
-  /// @brief Daemons whose rows were read, this one left out.
+  /// @brief Called with the daemons whose rows were read, except this one.
   using OnRows = std::function<void(const std::vector<DaemonState>& daemons)>;
 
   DaemonRows(EventLoop& loop, Store& store, DaemonState own, OnRows on_rows);
--- a/packages/gateway/include/gentianroute/gateway/detail/deflate.h
+++ b/packages/gateway/include/gentianroute/gateway/detail/deflate.h
@@ -8,12 +8,13 @@
 
 namespace gentianroute::gateway::detail {
 
-/// @brief Compresses a text in zlib's format, fast rather than small.
-/// @throws std::bad_alloc if there is no memory for it
+/// @brief Compresses a text in zlib format, at the fastest level.
+/// @throws std::bad_alloc if memory allocation fails
 std::string Deflate(std::string_view text);
 
-/// @param size of the text that was compressed
-/// @return nothing if the bytes are no text of this size
+/// @brief Decompresses a text in zlib format.
+/// @param size size of the uncompressed text
+/// @return the text; nullopt if the bytes are invalid or the size differs
 std::optional<std::string> Inflate(std::string_view bytes, std::size_t size);
 
 }  // namespace gentianroute::gateway::detail
--- a/packages/gateway/include/gentianroute/gateway/detail/row_messages.h
+++ b/packages/gateway/include/gentianroute/gateway/detail/row_messages.h
@@ -11,25 +11,26 @@
 
 namespace gentianroute::gateway::detail {
 
-/// @brief Writes rows of the store for a peer.
+/// @brief Encodes rows of the store for peers.
 ///
-/// A configuration of thousands of routes is hundreds of kilobytes. Whole, it
-/// would fill the link of the daemon that read it for seconds while all others
-/// of its data centre ask for it, and be in force too late; compressed it is a
-/// fifth.
+/// A configuration of thousands of routes is hundreds of kilobytes. All daemons
+/// of a data centre request it from the one that read it. Uncompressed, it
+/// would saturate that daemon's link for seconds and arrive too late;
+/// compressed, it takes a fifth of the size.
 class RowWriter {
  public:
   void Write(const std::vector<StoredRow>& rows,
              capnp::List<schema::Row>::Builder out);
 
  private:
-  /// The newest large row: all peers ask for the same one.
+  /// Cache of the compressed value of the last large row, since all peers
+  /// request the same one.
   std::string key_;
   std::uint64_t version_ = 0;
   std::string compressed_;
 };
 
-/// @brief The rows that can be read; others are logged and left out.
+/// @brief Decodes rows; invalid ones are logged and skipped.
 std::vector<StoredRow> ReadRows(capnp::List<schema::Row>::Reader in);
 
 }  // namespace gentianroute::gateway::detail
--- a/packages/gateway/include/gentianroute/gateway/membership.h
+++ b/packages/gateway/include/gentianroute/gateway/membership.h
@@ -217,8 +217,7 @@
   int broadcast_rounds_ = 0;
   TimePoint started_{};
   std::vector<std::string> stage_services_;
-  bool represents_data_centre_ =
-      false;  ///< for its data centre, to those elsewhere
+  bool represents_data_centre_ = false;
   TimePoint last_check_{};
   TimePoint last_denial_{};  ///< of a report that this daemon was lost
   std::set<std::string, std::less<>> standbys_;
--- a/packages/gateway/include/gentianroute/gateway/peer_calls.h
+++ b/packages/gateway/include/gentianroute/gateway/peer_calls.h
@@ -21,37 +21,39 @@
 
 namespace gentianroute::gateway {
 
-/// @brief Calls to other daemons, each over one connection that is kept.
+/// @brief Calls to other daemons, over one persistent connection to each.
 class PeerCalls {
  public:
-  /// @brief A daemon that takes no connection, tried twice.
+  /// @brief Called with a daemon to which two connection attempts in a row
+  /// failed.
   using OnUnreachable = std::function<void(const std::string& peer)>;
 
   PeerCalls(EventLoop& loop, OnUnreachable on_unreachable);
   ~PeerCalls();
 
-  /// @brief Makes the connection to a peer, unless it stands.
+  /// @brief Connects to a peer, unless there is a connection.
   void EnsureConnected(const DaemonState& peer);
-  /// @brief Lets go of the connection: the peer is lost, or starts again.
+  /// @brief Closes the connection, after the peer was lost or has restarted.
   void Disconnect(std::string_view peer);
 
-  /// @brief Hands a group to another daemon.
-  /// @param done called once: with the outcome, or with nothing if the peer
-  /// broke off and the pieces may have been made. Not called once the hold is
-  /// let go.
+  /// @brief Sends a group to another daemon.
+  /// @param done called once: with the outcome, or with nothing if the call
+  /// failed and the pieces may have been executed. Not called after the
+  /// returned object is destroyed.
   std::unique_ptr<GroupHold> RunGroup(
       const DaemonState& peer,
       const PoolKey& pool,
       const routing::StageGroup& group,
       std::function<void(std::optional<GroupOutcome>)> done);
 
-  /// @brief Tells the scheduler of a pool which results are of no more use.
+  /// @brief Tells the scheduler of a pool which results are no longer needed.
   void Release(const DaemonState& peer,
                const PoolKey& pool,
                std::span<const std::string> results);
 
-  /// @brief Asks a peer for what it knows of the store beyond these versions.
-  /// @pre no such question is under way
+  /// @brief Asks a peer for the rows of the store that are newer than these
+  /// versions.
+  /// @pre no earlier call is in progress
   void FetchStoreCopy(const DaemonState& peer,
                       std::uint64_t deployment_version,
                       std::uint64_t servers_version,
@@ -63,7 +65,7 @@
   struct Connection {
     DaemonState peer;
     std::unique_ptr<RpcConnection> rpc;
-    int failures = 0;  ///< in a row, to connect
+    int failures = 0;  ///< consecutive failed connection attempts
     bool broken = false;
   };
 
--- a/packages/gateway/src/daemon_rows.cc
+++ b/packages/gateway/src/daemon_rows.cc
@@ -10,13 +10,13 @@
 namespace gentianroute::gateway {
 namespace {
 
-/// Daemons that start together write their rows within the first moments; each
-/// reads the others' so much later.
+/// Daemons that start together write their rows within a short time; each reads
+/// the others' rows after this delay.
 constexpr Duration kReadDelayAfterWrite = std::chrono::milliseconds(400);
-/// Of two daemons the later to write is known to the other by its beats, so the
-/// rows are read again only against what nobody has thought of.
+/// The later one of two daemons finds the row of the other and sends it a
+/// heartbeat, so that repeated reads are only a fallback.
 constexpr Duration kReadInterval = std::chrono::minutes(5);
-/// After a call that failed.
+/// Delay after a failed call.
 constexpr Duration kRetryDelay = std::chrono::milliseconds(400);
 
 std::string RowOf(const DaemonState& daemon) {
@@ -93,7 +93,8 @@
   store_.Put(StoreTable::kDaemons, own_.name, own_row_,
              [this](const StoreAnswer& answer) {
                written_ = answer.kind == StoreAnswer::Kind::kRows;
-               // Reading shows whether a write without an answer was made.
+               // The next read shows whether a write took effect whose call
+               // failed.
                ReadAfter(kReadDelayAfterWrite);
              });
 }
--- a/packages/gateway/src/gateway_peers.cc
+++ b/packages/gateway/src/gateway_peers.cc
@@ -5,12 +5,13 @@
 
 #include "gentianroute/gateway/detail/gateway_impl.h"
 
-// What a daemon tells its peers, and what it does with what they tell.
+// The contents of heartbeats and store copies, and the processing of those of
+// peers.
 
 namespace gentianroute::gateway {
 namespace {
 
-/// Below this a load is nothing, after many additions and subtractions.
+/// A smaller load is a rounding error of many additions and subtractions.
 constexpr double kMinReportedLoad = 0.5;
 
 }  // namespace
--- a/packages/gateway/src/peer_calls.cc
+++ b/packages/gateway/src/peer_calls.cc
@@ -13,10 +13,10 @@
 using detail::ReadOutcome;
 using detail::WriteGroup;
 
-/// A copy over a narrow link that others use too takes most of a second; asked
-/// for again before it has come, it would take up the link twice.
+/// A copy over a slow shared link takes most of a second. Requesting it again
+/// before it has arrived would use the link twice.
 constexpr Duration kStoreCopyTimeout = std::chrono::milliseconds(1500);
-/// One packet of the first try may have been lost.
+/// A packet of the first attempt may have been lost.
 constexpr int kMaxConnectFailures = 2;
 
 struct LogTaskErrors final : kj::TaskSet::ErrorHandler {
@@ -28,7 +28,7 @@
 
 }  // namespace
 
-/// A group that a peer runs. Letting go of it cancels the call.
+/// A group that a peer runs. Destroying it cancels the call.
 class PeerCalls::RemoteGroup final : public GroupHold {
  public:
   using Done = std::function<void(std::optional<GroupOutcome>)>;
@@ -52,7 +52,7 @@
  private:
   Done done_;
   kj::Canceler canceler_;
-  /// Tells a callback that the group still exists.
+  /// Expires with the group, so that callbacks detect its destruction.
   std::shared_ptr<RemoteGroup*> self_ = std::make_shared<RemoteGroup*>(this);
 };
 
@@ -134,8 +134,8 @@
              request.initGroup());
   kj::Promise<capnp::Response<schema::Cluster::RunGroupResults>> sent =
       request.send();
-  // Only the call itself can be cancelled: what hears of its end may let go of
-  // the group, and a promise must not be destroyed by its own callback.
+  // Only the call itself is cancellable: the callback may destroy the group,
+  // and a promise must not be destroyed by its own callback.
   tasks_->add(remote->Wrap(kj::mv(sent))
                   .then(
                       [self](auto response) {
@@ -161,7 +161,8 @@
   for (unsigned i = 0; i < out.size(); ++i) {
     out.set(i, results[i]);
   }
-  // A lost release costs room for some seconds only; it is not repeated.
+  // Without the release, the server keeps the results for some seconds longer;
+  // it is not repeated.
   tasks_->add(request.send().ignoreResult());
 }
 
--- a/packages/gateway/src/row_messages.cc
+++ b/packages/gateway/src/row_messages.cc
@@ -11,10 +11,10 @@
 namespace gentianroute::gateway::detail {
 namespace {
 
-/// Smaller rows fit into a few packets as they are.
+/// Smaller values fit into a few packets uncompressed.
 constexpr std::size_t kCompressionThreshold = 4096;
-/// Bound on what a peer may make this daemon set aside; rows of the store are
-/// far smaller.
+/// Limit for the memory that a message of a peer can make this daemon allocate;
+/// rows of the store are far smaller.
 constexpr std::uint32_t kMaxInflatedBytes = 16U << 20U;
 
 kj::ArrayPtr<const kj::byte> BytesOf(std::string_view text) {
--- a/packages/gateway/tests/daemon_rows_test.cc
+++ b/packages/gateway/tests/daemon_rows_test.cc
@@ -52,8 +52,8 @@
   cr_assert(fixture.store.calls.empty());
 }
 
-// Load: all processes were killed, and hundreds start at once. Their rows are
-// there; each still wrote its own and read all a second time.
+// All processes are killed, and hundreds restart at once. Their rows still
+// exist, so that none of them must write its row and read the table again.
 Test(daemon_rows, restart_with_an_existing_row_costs_one_call) {
   RowsFixture first;
   first.rows.Start();
@@ -73,7 +73,7 @@
   cr_assert_eq(read, std::vector<std::string>{"other"});
 }
 
-// A daemon that takes the place of another has its name but another address.
+// A daemon that replaces another one has the same name but another address.
 Test(daemon_rows, row_with_another_address_is_overwritten) {
   RowsFixture fixture;
   fixture.rows.Start();
--- a/packages/gateway/tests/fake_store.h
+++ b/packages/gateway/tests/fake_store.h
@@ -15,13 +15,13 @@
 
 inline constexpr Duration kLongerThanAnyDelay = std::chrono::milliseconds(700);
 
-/// Lets timers run that are due within a time.
+/// Runs the loop for a time.
 inline void RunLoopFor(EventLoop& loop, Duration time) {
   loop.After(time, [&loop] { loop.Stop(); });
   loop.Run();
 }
 
-/// A store whose answers the test gives.
+/// A store whose responses are given by the test.
 class FakeStore final : public Store {
  public:
   struct Call {
--- a/packages/gateway/tests/membership_test.cc
+++ b/packages/gateway/tests/membership_test.cc
@@ -136,15 +136,15 @@
   FleetFixture fixture(kHundreds);
   VirtualFleet& fleet = fixture.fleet;
   const std::string scheduler = fleet.MembershipOf(0).SchedulerOf(fixture.pool);
-  std::size_t heard = 0;
+  std::size_t alive_elsewhere = 0;
   for (std::size_t i = 0; i < fleet.size(); ++i) {
     const Membership::Peer* peer =
         fleet.MembershipOf(0).Find("daemon-" + std::to_string(i));
     const bool elsewhere =
         peer != nullptr && peer->distance == Membership::Distance::kOtherRegion;
-    heard += elsewhere && peer->alive ? 1 : 0;
+    alive_elsewhere += elsewhere && peer->alive ? 1 : 0;
   }
-  cr_assert_leq(heard, 8);
+  cr_assert_leq(alive_elsewhere, 8);
   cr_assert(fleet.MembershipOf(0).Find(scheduler)->alive);
   // They still count as users of fleet-wide budgets.
   cr_assert_eq(fleet.MembershipOf(0).live_daemons(), fleet.size());
@@ -193,7 +193,7 @@
 Test(membership, gossip_reaches_all_daemons_in_a_few_steps) {
   FleetFixture fixture(kTargetSize);
   VirtualFleet& fleet = fixture.fleet;
-  std::set<std::size_t> told{0};
+  std::set<std::size_t> informed{0};
   std::vector<std::size_t> newly{0};
   for (int step = 0; step < 6 && !newly.empty(); ++step) {
     std::vector<std::size_t> next;
@@ -202,12 +202,12 @@
       cr_assert_leq(targets.size(), 10);
       for (const Membership::Peer* peer : targets) {
         const std::size_t to = fleet.IndexOf(peer->state.name);
-        if (told.insert(to).second) {
+        if (informed.insert(to).second) {
           next.push_back(to);
         }
       }
     }
     newly = std::move(next);
   }
-  cr_assert_geq(told.size(), fleet.size() * 99 / 100);
+  cr_assert_geq(informed.size(), fleet.size() * 99 / 100);
 }
--- a/packages/gateway/tests/row_messages_test.cc
+++ b/packages/gateway/tests/row_messages_test.cc
@@ -13,7 +13,7 @@
 
 namespace {
 
-/// A configuration of many routes, as operators write it.
+/// A configuration of many routes in the operators' format.
 std::string LargeConfiguration(int routes) {
   std::string text = R"({"version":36,"routes":[)";
   for (int i = 0; i < routes; ++i) {
@@ -53,9 +53,9 @@
   cr_assert(rows[2].deleted);
 }
 
-// Load: one daemon has read a configuration of 5,000 routes, and fifteen others
-// of its data centre ask it for a copy, over a link of 10 Mbit/s. All have to
-// have it within a second or so, beside their other traffic.
+// One daemon has read a configuration of 5,000 routes, and fifteen others of
+// its data centre copy it over a link of 10 Mbit/s. All must have it within
+// about a second, beside other traffic.
 Test(row_messages, large_configuration_reaches_a_data_centre_in_time) {
   constexpr int kPeers = 15;
   constexpr double kLinkBytesPerSecond = 10e6 / 8;
@@ -75,7 +75,7 @@
   cr_assert(rows.at(0).value == LargeConfiguration(101));
 }
 
-// A peer of another build, or one gone wrong, must not end this daemon.
+// An incompatible or faulty peer must not crash this daemon.
 Test(row_messages, rows_with_invalid_compressed_values_are_skipped) {
   capnp::MallocMessageBuilder message;
   auto list = message.initRoot<schema::StoreCopy>().initDeployment(2);
--- a/packages/gateway/tests/store_follower_test.cc
+++ b/packages/gateway/tests/store_follower_test.cc
@@ -70,8 +70,8 @@
   cr_assert_eq(fixture.changes, std::vector<std::string>{"+b"});
 }
 
-// Each call to the store costs money. A daemon that another one reads for must
-// not ask again once its last call has ended.
+// Calls to the store are billed. A daemon must not call again after its pending
+// call when another daemon has taken over.
 Test(store_follower, daemon_that_does_not_follow_makes_no_more_calls) {
   FollowerFixture fixture;
   fixture.follower.Start();
@@ -84,8 +84,8 @@
   cr_assert_eq(fixture.store.calls.size(), 1);
 }
 
-// A read lags behind what is known, as reads do after the store has dropped its
-// history. Going back would put an old configuration in force again.
+// A read may return a version older than the copy, as happens after the store
+// has dropped its history. Applying it would restore an old configuration.
 Test(store_follower, older_copy_changes_nothing) {
   FollowerFixture fixture;
   fixture.follower.Start();
@@ -110,10 +110,10 @@
   cr_assert_eq(fixture.full_reads, 2);
 }
 
-// Callers of a whole data centre got 404 for a new route: its one reader had
-// been cut off from the store and noticed it only after four seconds. Two
-// daemons in a row have to notice within the time in which a change must be in
-// force.
+// Requests for a new route got 404 in a whole data centre, because the daemon
+// that read the store had lost its connection and noticed it only after four
+// seconds. Two daemons in succession must notice within the maximum propagation
+// time.
 Test(store_follower,
      failed_call_is_noticed_while_another_daemon_can_still_take_over) {
   constexpr Duration kAnswerMargin = std::chrono::milliseconds(400);
@@ -157,8 +157,8 @@
   cr_assert_eq(changes.rows.size(), 1);
 }
 
-// A server has left and a peer has told so; the own call, which was under way,
-// then brings an older row of it. The server must stay gone.
+// A peer reports a deleted server, then the pending call of this daemon returns
+// an older row of that server. The server must stay deleted.
 Test(store_follower, old_row_does_not_bring_back_a_deleted_one) {
   FollowerFixture fixture;
   fixture.follower.Start();
@@ -168,9 +168,8 @@
   cr_assert_eq(fixture.changes, std::vector<std::string>{"-a"});
 }
 
-// Load: calls to the store are billed, and a reader of each data centre makes
-// one for each time that a call is held. Where changes have more time, calls
-// are held for longer.
+// Calls to the store are billed, and one daemon of each data centre makes one
+// per poll timeout. A longer propagation time must allow longer polls.
 Test(store_follower, longer_propagation_time_gives_a_longer_poll_timeout) {
   constexpr Duration kTimeoutForShortLimit = std::chrono::milliseconds(700);
   FollowerFixture fixture(std::chrono::seconds(4));
@@ -179,36 +178,36 @@
   cr_assert(fixture.store.max_wait >= 2 * kTimeoutForShortLimit);
 }
 
-// Load: a whole data centre asks one daemon for thousands of rows. Each answer
-// was the whole table; they waited in its memory for a link that takes seconds
-// over them, until the process was ended for it.
+// A whole data centre requests thousands of rows from one daemon. When each
+// response contained the whole table, the responses queued for a link that
+// needs seconds to send them, until the process ran out of memory.
 Test(store_follower, large_table_is_copied_in_parts_that_are_each_consistent) {
   constexpr std::size_t kRows = 3000;
   const std::string value(200, 'x');
   std::vector<StoredRow> rows;
   for (std::size_t i = 0; i < kRows; ++i) {
-    // Two rows share a write.
+    // Two rows belong to one write.
     rows.push_back({"server-" + std::to_string(i), value, 10 + i / 2, false});
   }
   FollowerFixture source;
   source.follower.Start();
   source.store.RespondWithRows(rows, 5000);
   PeerFixture asker(source);
-  std::size_t told = 0;
+  std::size_t copied_rows = 0;
   while (asker.follower.newest_change() < source.follower.newest_change()) {
     const StoreChanges part =
         source.follower.ChangesAfter(asker.follower.newest_change());
     cr_assert_leq(part.rows.size(), 400);
     cr_assert_eq(part.rows.size() % 2, 0);
-    told += part.rows.size();
+    copied_rows += part.rows.size();
     asker.follower.MergePeerCopy(part);
   }
-  cr_assert_eq(told, kRows);
+  cr_assert_eq(copied_rows, kRows);
 }
 
-// A peer read the table a moment before this daemon did, and lacks what changed
-// between. It was handed the whole table again: all daemons start together, so
-// each asked each for it.
+// A peer that read the table shortly before this daemon lacks only the changes
+// in between and must not get the whole table: all daemons start together, so
+// each one would copy it from each other one.
 Test(store_follower,
      peer_with_an_older_read_gets_the_changes_and_the_live_keys) {
   FollowerFixture later;
@@ -226,7 +225,7 @@
   cr_assert_eq(before.follower.newest_change(), 9);
 }
 
-// A row that this daemon learnt after the peer had listed its own must stay.
+// A row that this daemon received after the peer collected its keys must stay.
 Test(store_follower, row_newer_than_the_live_keys_of_a_peer_is_kept) {
   FollowerFixture fixture;
   fixture.follower.Start();
@@ -240,8 +239,8 @@
   cr_assert_eq(fixture.changes, std::vector<std::string>{"-a"});
 }
 
-// Load: all daemons start at once, and one of each data centre is to follow the
-// store. A call of each, made before it knew the others, was billed.
+// All daemons start at once, and one of each data centre is to follow the
+// store. Each daemon must not make a billed call before it knows the others.
 Test(store_follower, does_not_follow_until_following_is_set) {
   FollowerFixture fixture;
   PeerFixture other(fixture);
@@ -252,9 +251,9 @@
   cr_assert_eq(other.store.calls.size(), 1);
 }
 
-// Daemons start before the first backend server does, and read an empty table.
-// The one that follows the store tells of the servers; the others took that for
-// a copy which they did not need, asked for it for ever, and served nobody.
+// Daemons that start before the first backend server read an empty table. When
+// they ignored a full copy after that, they requested it endlessly and knew no
+// servers.
 Test(store_follower, peer_copy_is_merged_after_an_empty_table_was_read) {
   FollowerFixture source;
   source.follower.Start();
