--- a/packages/gateway/include/gentianroute/gateway/cluster.h
+++ b/packages/gateway/include/gentianroute/gateway/cluster.h
@@ -103,8 +103,8 @@
                  const PoolKey& pool,
                  std::span<const std::string> results);
 
-  /// @brief Peers that get an update immediately, in ascending order; the
-  /// others get it by gossip or with the next regular heartbeat.
+  /// @brief Peers that get an update immediately, ordered from fewest to most.
+  /// The others get it by gossip or with the next regular heartbeat.
   enum class UpdateScope : std::uint8_t { kGossip, kDataCentre };
   /// @brief Sends a heartbeat with this daemon's changed state immediately.
   void SendUpdate(UpdateScope scope);
--- a/packages/gateway/include/gentianroute/gateway/membership.h
+++ b/packages/gateway/include/gentianroute/gateway/membership.h
@@ -137,10 +137,10 @@
   /// next one.
   Targets HeartbeatTargets(TimePoint now);
   /// @brief Returns the maximum time between heartbeats to a peer; 0 if it gets
-  /// none regularly and must not consider this daemon lost without them.
+  /// none regularly and must not expect any.
   Duration HeartbeatIntervalTo(const Peer& peer) const;
-  /// @brief Returns random peers that get an update immediately; chosen anew
-  /// each time.
+  /// @brief Returns the peers that get an update immediately: all of them in a
+  /// small fleet, otherwise a random selection, different in each call.
   Targets GossipTargets();
   /// @brief Returns all known peers of the own data centre, alive or not.
   Targets DataCentrePeers() const;
@@ -219,7 +219,7 @@
   std::vector<std::string> stage_services_;
   bool represents_data_centre_ = false;
   TimePoint last_check_{};
-  TimePoint last_denial_{};  ///< of a report that this daemon was lost
+  TimePoint last_refutation_{};  ///< of a reported loss of this daemon
   std::set<std::string, std::less<>> standbys_;
   bool standbys_valid_ = false;
   /// Time of loss of lost peers of the own data centre.
--- a/packages/gateway/include/gentianroute/gateway/store_follower.h
+++ b/packages/gateway/include/gentianroute/gateway/store_follower.h
@@ -41,8 +41,8 @@
     OnRows on_rows;      ///< the whole table was read
     OnChange on_change;  ///< one row changed
     std::function<void(bool reachable)> on_reachable;  ///< reachability changed
-    std::function<void()>
-        on_call_failed;  ///< first failed call after a successful one
+    /// First failed call after a successful one.
+    std::function<void()> on_call_failed;
   };
 
   /// @param max_propagation_time limit for the time from a change in the store
@@ -83,7 +83,7 @@
   void ReplaceTable(const std::vector<StoredRow>& rows, std::uint64_t version);
   /// Rows and deletions, oldest first.
   std::vector<const StoredRow*> NewerThan(std::uint64_t known) const;
-  void RemoveUnlisted(const StoreChanges& changes);
+  void RemoveMissingKeys(const StoreChanges& changes);
   void Apply(const StoredRow& row);
   void SendNextCall();
   void ScheduleCall(Duration delay);
--- a/packages/gateway/src/membership.cc
+++ b/packages/gateway/src/membership.cc
@@ -85,8 +85,8 @@
   Peer& peer = FindOrAddPeer(state.name);
   const DaemonState& before = peer.state;
   const bool restarted = before.incarnation != state.incarnation;
-  // The loss of a peer that sends no regular heartbeats can't be detected, so
-  // such a peer is never considered alive.
+  // Outside of the own data centre, a peer that sends no regular heartbeats is
+  // not considered alive, since its loss could not be detected.
   const bool is_monitored = state.heartbeat_interval > Duration{0} ||
                             state.data_centre == own_.data_centre;
   const bool was_alive = std::exchange(peer.alive, is_monitored);
@@ -129,11 +129,11 @@
     // All daemons that missed this one report it at once; one broadcast refutes
     // them all.
     const bool is_new_report = incarnation == own_.incarnation &&
-                               now - last_denial_ > kStandbyInterval;
+                               now - last_refutation_ > kStandbyInterval;
     if (!is_new_report) {
       return LossReport::kStale;
     }
-    last_denial_ = now;
+    last_refutation_ = now;
     broadcast_rounds_ = kBroadcastRounds;
     return LossReport::kAboutSelf;
   }
@@ -176,8 +176,8 @@
 std::vector<Membership::LostPeer> Membership::DetectLostPeers(TimePoint now) {
   std::vector<LostPeer> lost;
   if (WasSuspended(now)) {
-    // Heartbeats of the peers are still unread in the socket; without a new
-    // start of the timeouts all peers would be considered lost.
+    // The socket still holds unread heartbeats of the peers. Unless the
+    // timeouts start again, all peers would be considered lost.
     for (const auto& [name, peer] : peers_) {
       peer->last_heartbeat = now;
     }
--- a/packages/gateway/src/membership_heartbeats.cc
+++ b/packages/gateway/src/membership_heartbeats.cc
@@ -22,7 +22,7 @@
 
 /// Indexed by Distance. Traffic between regions is billed by volume, and load
 /// figures are about 20 ms old there on arrival anyway.
-constexpr std::array<HeartbeatRate, 3> kRates = {{
+constexpr std::array<HeartbeatRate, 3> kHeartbeatRates = {{
     {90, std::chrono::milliseconds(100)},
     {30, std::chrono::milliseconds(100)},
     {20, std::chrono::milliseconds(300)},
@@ -59,7 +59,7 @@
     return kStandbyInterval;
   }
   const auto index = static_cast<std::size_t>(recipients);
-  const HeartbeatRate& rate = kRates[index];
+  const HeartbeatRate& rate = kHeartbeatRates[index];
   const Duration interval = std::max(
       rate.min_interval, Duration(std::chrono::seconds(1)) *
                              peer_counts_[index] / rate.heartbeats_per_second);
--- a/packages/gateway/src/peer_calls.cc
+++ b/packages/gateway/src/peer_calls.cc
@@ -161,8 +161,8 @@
   for (unsigned i = 0; i < out.size(); ++i) {
     out.set(i, results[i]);
   }
-  // Without the release, the server keeps the results for some seconds longer;
-  // it is not repeated.
+  // A lost release is not repeated; the server then keeps the results for some
+  // seconds longer.
   tasks_->add(request.send().ignoreResult());
 }
 
--- a/packages/gateway/src/store_follower.cc
+++ b/packages/gateway/src/store_follower.cc
@@ -18,11 +18,11 @@
 /// maximum propagation time together with the latency of the calls and of the
 /// update to the peers. Shorter times cause more calls, which are billed.
 Duration LongPollTimeout(Duration max_propagation_time) {
-  constexpr Duration kPropagationTime = std::chrono::milliseconds(1100);
+  constexpr Duration kCallAndUpdateLatency = std::chrono::milliseconds(1100);
   constexpr Duration kMinTimeout = std::chrono::milliseconds(300);
   constexpr Duration kMaxTimeout = std::chrono::seconds(5);
-  return std::clamp((max_propagation_time - kPropagationTime) / 2, kMinTimeout,
-                    kMaxTimeout);
+  return std::clamp((max_propagation_time - kCallAndUpdateLatency) / 2,
+                    kMinTimeout, kMaxTimeout);
 }
 
 /// Changes within this time are collected into one response. Without it,
@@ -159,14 +159,14 @@
     ReplaceTable(changes.rows, changes.version);
     return;
   }
-  RemoveUnlisted(changes);
+  RemoveMissingKeys(changes);
   for (const StoredRow& row : changes.rows) {
     Apply(row);
   }
   version_ = std::max(version_, changes.version);
 }
 
-void StoreFollower::RemoveUnlisted(const StoreChanges& changes) {
+void StoreFollower::RemoveMissingKeys(const StoreChanges& changes) {
   if (changes.live_key_hashes.empty()) {
     return;
   }
--- a/packages/gateway/tests/membership_test.cc
+++ b/packages/gateway/tests/membership_test.cc
@@ -31,7 +31,7 @@
 void ExpectLostSchedulerIsReplaced(Shape shape) {
   FleetFixture fixture(shape);
   VirtualFleet& fleet = fixture.fleet;
-  cr_assert(fleet.AgreeOnScheduler(fixture.pool));
+  cr_assert(fleet.AgreesOnScheduler(fixture.pool));
   fleet.Kill(fleet.IndexOf(fleet.MembershipOf(0).SchedulerOf(fixture.pool)));
   const Duration taken = fleet.TimeToAgree(fixture.pool, 60 * kSecond);
   // Its standbys miss five heartbeats of 150 ms and check every 150 ms.
@@ -107,7 +107,7 @@
   fleet.StartAll(3000);
   fleet.AdvanceTime(4 * kSecond);
   for (const char* data_centre : {"dc-0", "dc-1", "dc-2", "dc-3"}) {
-    cr_assert(fleet.AgreeOnScheduler({"stage", data_centre}));
+    cr_assert(fleet.AgreesOnScheduler({"stage", data_centre}));
   }
 }
 
--- a/packages/gateway/tests/virtual_fleet.h
+++ b/packages/gateway/tests/virtual_fleet.h
@@ -113,7 +113,7 @@
   std::size_t false_losses() const { return false_losses_; }
 
   /// Whether all running daemons compute the same scheduler, and it runs.
-  bool AgreeOnScheduler(const PoolKey& pool) {
+  bool AgreesOnScheduler(const PoolKey& pool) {
     std::set<std::string> named;
     for (std::size_t i = 0; i < daemons_.size(); ++i) {
       if (daemons_[i].runs) {
@@ -125,7 +125,7 @@
   /// Runs until all daemons agree, for at most `limit`; returns the time taken.
   Duration TimeToAgree(const PoolKey& pool, Duration limit) {
     const TimePoint started_at = now_;
-    while (!AgreeOnScheduler(pool) && now_ - started_at < limit) {
+    while (!AgreesOnScheduler(pool) && now_ - started_at < limit) {
       AdvanceTime(50 * kMs);
     }
     return now_ - started_at;
