--- a/packages/gateway/include/gentianroute/gateway/detail/gateway_impl.h
+++ b/packages/gateway/include/gentianroute/gateway/detail/gateway_impl.h
@@ -183,7 +183,9 @@
   }
 
   /// Whether requests can be routed.
-  bool knows_all() const { return table_ != nullptr && server_rows_.is_loaded(); }
+  bool knows_all() const {
+    return table_ != nullptr && server_rows_.is_loaded();
+  }
   bool ready() const { return knows_all() && !draining_; }
 
   /// Begins what has waited for the daemon to know its deployment.
