--- a/tests/process/platform_mode_test.cc
+++ b/tests/process/platform_mode_test.cc
@@ -16,12 +16,12 @@
 #include <vector>
 
 #include "gentianroute/loop/relay_client.h"
-#include "platform/tests/far_ends.h"
+#include "platform/tests/fake_servers.h"
 #include "process.h"
 #include "test_folder.h"
 
 using namespace gentianroute;
-using gentianroute::platform::FarStore;
+using gentianroute::platform::FakeStore;
 using gentianroute::platform::RawServer;
 using gentianroute::testing::FreePort;
 using gentianroute::testing::Http;
@@ -35,13 +35,14 @@
 /// The program with a store that knows one route and one server.
 struct ProgramFixture {
   EventLoop loop;
-  FarStore store{loop};
-  RawServer server{
-      loop,
-      [](RawServer::Peer& peer, const MessageHead&, const std::string& body) {
-        peer.SendAnswer(200, "Gentianroute-Response-Signature: s\r\n",
-                        "got " + body);
-      }};
+  FakeStore store{loop};
+  RawServer server{loop, [](RawServer::Connection& peer,
+                            const MessageHead&,
+                            const std::string& body) {
+                     peer.SendAnswer(200,
+                                     "Gentianroute-Response-Signature: s\r\n",
+                                     "got " + body);
+                   }};
   std::uint16_t callers = FreePort();
   std::uint16_t readiness = FreePort();
   std::uint16_t peers = FreePort();
--- a/tests/soak/soak_run.h
+++ b/tests/soak/soak_run.h
@@ -94,7 +94,7 @@
       fault_random_;  ///< of faults alone, so that a seed fixes them
   EventLoop loop_;
   Promises promises_;
-  platform::FarStore store_;
+  platform::FakeStore store_;
   ServerWorld world_;
   std::vector<std::unique_ptr<SoakServer>> servers_;
   SoakCallers::Daemons daemons_;
--- a/tests/soak/soak_servers.h
+++ b/tests/soak/soak_servers.h
@@ -9,7 +9,7 @@
 #include <vector>
 
 #include "fault_proxy.h"
-#include "platform/tests/far_ends.h"
+#include "platform/tests/fake_servers.h"
 #include "promises.h"
 
 namespace gentianroute::soak {
@@ -26,7 +26,7 @@
 struct ServerWorld {
   EventLoop& loop;
   Promises& promises;
-  platform::FarStore& store;
+  platform::FakeStore& store;
   std::mt19937_64& random;
   std::set<std::string> results;  ///< of stages, that can still be read
 };
@@ -56,7 +56,7 @@
   void SilenceOpenLinks();
 
  protected:
-  using Peer = platform::RawServer::Peer;
+  using Peer = platform::RawServer::Connection;
 
   /// @brief Does what the server is for; the request is meant for it.
   virtual void Run(Peer& peer,
