--- a/apps/gentianroute/main.cc
+++ b/apps/gentianroute/main.cc
@@ -1,4 +1,4 @@
-// The daemon: one process on each entry host.
+// Main program of the daemon, which runs once on each entry host.
 
 #include <csignal>
 #include <cstdint>
@@ -25,7 +25,7 @@
 
 constexpr int kExitInvalid = 2;
 constexpr int kExitFailed = 1;
-/// The usual port of exporters that speak Prometheus' text format.
+/// Usual port of exporters in the Prometheus text format.
 constexpr std::uint16_t kMetricsPort = 9464;
 
 int Serve(const Settings& settings) {
@@ -57,11 +57,12 @@
   std::uint16_t metrics_port = kMetricsPort;
   auto* settings =
       app.add_option("--settings", file, "settings file, JSON with comments");
-  app.add_flag("--platform", on_platform,
-               "run on the users' platform, by the settings that it gives")
+  app.add_flag(
+         "--platform", on_platform,
+         "run on the users' platform, with the settings file that it provides")
       ->excludes(settings);
   app.add_option("--metrics-port", metrics_port,
-                 "port of the counters, with --platform");
+                 "port of the metrics endpoint, with --platform");
   app.add_flag("--check", check_only, "check the settings and exit");
   app.set_version_flag("--version", "gentianroute 0.1.0");
   CLI11_PARSE(app, argc, argv);
--- a/cmake/Packages.cmake
+++ b/cmake/Packages.cmake
@@ -1,13 +1,13 @@
-# Warnings for every hand-written target; generated code is exempt. GCC 12 warns
-# of overlapping copies in std::string's own operator+ when it optimises; the
-# warning is wrong there, and later versions don't give it.
+# Warnings for every hand-written target; generated code is exempt. When GCC 12
+# optimises, it falsely warns of overlapping copies in std::string's operator+;
+# later versions don't, so -Wrestrict is off in release builds.
 add_library(gentianroute_warnings INTERFACE)
 target_compile_options(gentianroute_warnings INTERFACE -Wall -Wextra -Werror
                                                        -Wno-missing-field-initializers
                        $<$<CONFIG:Release>:-Wno-restrict>)
 
-# gentianroute_package(<name> DEPS <targets>): a library of packages/<name>,
-# from every src/*.cc, with tests/*_test.cc as one Criterion program each.
+# gentianroute_package(<name> DEPS <targets>): defines the library of
+# packages/<name> from all src/*.cc, and its tests as gentianroute_tests() does.
 function(gentianroute_package name)
   cmake_parse_arguments(ARG "" "" "DEPS" ${ARGN})
   file(GLOB sources CONFIGURE_DEPENDS src/*.cc)
@@ -18,8 +18,9 @@
   gentianroute_tests(${name} gentianroute_${name})
 endfunction()
 
-# gentianroute_tests(<group> <targets>): every tests/*_test.cc below the current
-# folder, each a program of its own under CTest.
+# gentianroute_tests(<group> <targets>): builds each tests/*_test.cc of the
+# current directory as a Criterion program of its own, linked to the targets, and
+# registers it with CTest as <group>.<file name>.
 function(gentianroute_tests group)
   if(NOT GENTIANROUTE_DEVELOPMENT)
     return()
