--- a/packages/entry/include/gentianroute/entry/backend_calls.h
+++ b/packages/entry/include/gentianroute/entry/backend_calls.h
@@ -19,7 +19,7 @@
   BackendCalls(EventLoop& loop,
                HttpClient& client,
                Coordinator& coordinator,
-               std::function<void()> touched);
+               std::function<void()> request_advance);
 
   void Start(const StartAttempt& start);
   void Cancel(const CancelAttempt& cancel);
@@ -29,12 +29,14 @@
   class PlainObserver;
   class StreamObserver;
 
-  void Fail(AttemptId attempt, HttpCallError error, std::string_view detail);
+  void ReportFailure(AttemptId attempt,
+                     HttpCallError error,
+                     std::string_view detail);
 
   EventLoop& loop_;
   HttpClient& client_;
   Coordinator& coordinator_;
-  std::function<void()> touched_;
+  std::function<void()> request_advance_;
   std::unordered_map<AttemptId, HttpCallId> calls_;
 };
 
--- a/packages/entry/include/gentianroute/entry/cache_sync.h
+++ b/packages/entry/include/gentianroute/entry/cache_sync.h
@@ -35,17 +35,19 @@
     std::uint64_t incarnation = 0;  ///< as the engine itself gives it
     std::uint64_t sequence = 0;     ///< of the last event taken in
     HttpCallId call;
-    TimePoint asked{};
-    bool asking = false;
+    TimePoint called_at{};
+    bool call_pending = false;
   };
 
-  void ForgetGone();
+  void RemoveUnlistedEngines();
   bool IsFollowed(const Server& server,
                   const std::set<std::string>& pools) const;
-  void Ask(const Server& server, Engine& engine);
-  void GiveUpSilent(const Server& server, Engine& engine);
+  void RequestEvents(const Server& server, Engine& engine);
+  void CancelIfTimedOut(const Server& server, Engine& engine);
   void OnAnswer(const std::string& name, const HttpResult& result);
-  void TakeIn(const std::string& name, Engine& engine, std::string_view body);
+  void ApplyEvents(const std::string& name,
+                   Engine& engine,
+                   std::string_view body);
 
   EventLoop& loop_;
   HttpClient& client_;
@@ -53,7 +55,7 @@
   std::string data_centre_;
   PrefixAffinity caches_;
   std::map<std::string, Engine> engines_;
-  std::string last_asked_;
+  std::string last_polled_;
 };
 
 }  // namespace gentianroute
--- a/packages/entry/include/gentianroute/entry/caller_api.h
+++ b/packages/entry/include/gentianroute/entry/caller_api.h
@@ -32,7 +32,7 @@
             Coordinator& coordinator,
             CallerTable callers,
             std::string id_prefix,
-            std::function<void()> touched);
+            std::function<void()> request_advance);
 
   void OnRequest(HttpRequest request, std::shared_ptr<HttpResponder> responder);
   void Deliver(const DeliverChunk& chunk);
@@ -48,7 +48,7 @@
     bool begun = false;
   };
 
-  void Refuse(ErrorKind kind,
+  void Reject(ErrorKind kind,
               std::string_view detail,
               const HttpRequest& request,
               HttpResponder& responder);
@@ -61,9 +61,9 @@
   Coordinator& coordinator_;
   CallerTable callers_;
   std::string id_prefix_;
-  std::function<void()> touched_;
+  std::function<void()> request_advance_;
   std::unordered_map<RequestId, Exchange> exchanges_;
-  std::uint64_t refused_ = 0;
+  std::uint64_t rejected_count_ = 0;
 };
 
 }  // namespace gentianroute
--- a/packages/entry/include/gentianroute/entry/history_sync.h
+++ b/packages/entry/include/gentianroute/entry/history_sync.h
@@ -29,13 +29,13 @@
   void Save();
 
  private:
-  void Read();
+  void Load();
 
   EventLoop& loop_;
   ObjectStore& store_;
   ServiceLevels& levels_;
   std::string object_;
-  bool read_ = false;
+  bool loaded_ = false;
 };
 
 }  // namespace gentianroute
--- a/packages/entry/src/backend_calls.cc
+++ b/packages/entry/src/backend_calls.cc
@@ -14,9 +14,9 @@
 constexpr std::string_view kDataPrefix = "data: ";
 
 /// What the headers of an answer say, whatever its body.
-AttemptAnswer AnswerOf(AttemptId attempt,
-                       int status,
-                       const HttpHeaders& headers) {
+AttemptAnswer ParseAnswerHead(AttemptId attempt,
+                              int status,
+                              const HttpHeaders& headers) {
   AttemptAnswer answer;
   answer.attempt = attempt;
   answer.echoed =
@@ -31,7 +31,7 @@
   return answer;
 }
 
-HttpCall CallOf(const StartAttempt& start) {
+HttpCall MakeCall(const StartAttempt& start) {
   HttpCall call;
   call.address = start.server->host.address;
   call.port = start.server->host.port;
@@ -68,24 +68,24 @@
 
   void OnConnected() override { owner_.coordinator_.OnWritten(attempt_); }
   void OnHead(int status, const HttpHeaders& headers) override {
-    answer_ = AnswerOf(attempt_, status, headers);
+    answer_ = ParseAnswerHead(attempt_, status, headers);
   }
   void OnError(HttpCallError error, std::string_view detail) override {
-    owner_.Fail(attempt_, error, detail);
+    owner_.ReportFailure(attempt_, error, detail);
   }
 
  protected:
   void Deliver() {
-    answer_.received = std::exchange(unreported_, 0);
+    answer_.received = std::exchange(unreported_bytes_, 0);
     owner_.calls_.erase(attempt_);
     owner_.coordinator_.OnAnswer(owner_.loop_.Now(), std::move(answer_));
-    owner_.touched_();
+    owner_.request_advance_();
   }
 
   BackendCalls& owner_;
   AttemptId attempt_;
   AttemptAnswer answer_;
-  std::uint64_t unreported_ = 0;  ///< bytes of body not yet handed on
+  std::uint64_t unreported_bytes_ = 0;  ///< bytes of body not yet handed on
 };
 
 /// A whole JSON answer of a plain service.
@@ -94,7 +94,7 @@
   using Observer::Observer;
 
   void OnBody(std::string_view part) override {
-    unreported_ += part.size();
+    unreported_bytes_ += part.size();
     answer_.body += part;
   }
   void OnDone() override {
@@ -112,20 +112,20 @@
   using Observer::Observer;
 
   void OnBody(std::string_view part) override {
-    unreported_ += part.size();
+    unreported_bytes_ += part.size();
     if (answer_.status != kOk) {
       return;
     }
-    pending_ += part;
+    buffer_ += part;
     std::size_t end = 0;
-    while ((end = pending_.find('\n')) != std::string::npos) {
-      const std::string line = pending_.substr(0, end);
-      pending_.erase(0, end + 1);
+    while ((end = buffer_.find('\n')) != std::string::npos) {
+      const std::string line = buffer_.substr(0, end);
+      buffer_.erase(0, end + 1);
       if (line.starts_with(kDataPrefix)) {
-        OnEvent(std::string_view(line).substr(kDataPrefix.size()));
+        ParseEvent(std::string_view(line).substr(kDataPrefix.size()));
       }
     }
-    owner_.touched_();
+    owner_.request_advance_();
   }
 
   void OnDone() override {
@@ -138,20 +138,20 @@
   }
 
  private:
-  void OnEvent(std::string_view text) {
+  void ParseEvent(std::string_view text) {
     const json event = json::parse(text, nullptr, false);
     if (event.is_discarded() || !event.is_object()) {
       return;  // the gap it leaves is found by the next offset
     }
     try {
-      TakeEvent(event);
+      HandleEvent(event);
     } catch (const json::exception&) {
       // A field of another type. The exception would leave the loop and end
       // the daemon; left out, the event is a gap like any other.
     }
   }
 
-  void TakeEvent(const json& event) {
+  void HandleEvent(const json& event) {
     if (event.value("done", false)) {
       done_ = true;
       answer_.units = event.value("tokens", std::uint64_t{0});
@@ -162,22 +162,22 @@
     chunk.echoed = AttemptId{event.value("attempt", std::uint64_t{0})};
     chunk.offset = event.value("offset", std::uint64_t{0});
     chunk.text = event.value("text", "");
-    chunk.received = std::exchange(unreported_, 0);
+    chunk.received = std::exchange(unreported_bytes_, 0);
     owner_.coordinator_.OnChunk(owner_.loop_.Now(), std::move(chunk));
   }
 
-  std::string pending_;
+  std::string buffer_;
   bool done_ = false;
 };
 
 BackendCalls::BackendCalls(EventLoop& loop,
                            HttpClient& client,
                            Coordinator& coordinator,
-                           std::function<void()> touched)
+                           std::function<void()> request_advance)
     : loop_(loop),
       client_(client),
       coordinator_(coordinator),
-      touched_(std::move(touched)) {}
+      request_advance_(std::move(request_advance)) {}
 
 void BackendCalls::Start(const StartAttempt& start) {
   std::unique_ptr<HttpCallObserver> observer;
@@ -186,7 +186,7 @@
   } else {
     observer = std::make_unique<PlainObserver>(*this, start.attempt);
   }
-  const HttpCallId call = client_.Call(CallOf(start), std::move(observer));
+  const HttpCallId call = client_.Call(MakeCall(start), std::move(observer));
   calls_[start.attempt] = call;
 }
 
@@ -203,16 +203,16 @@
   }
 }
 
-void BackendCalls::Fail(AttemptId attempt,
-                        HttpCallError error,
-                        std::string_view detail) {
+void BackendCalls::ReportFailure(AttemptId attempt,
+                                 HttpCallError error,
+                                 std::string_view detail) {
   static constexpr AttemptFailure kFailures[] = {AttemptFailure::kConnect,
                                                  AttemptFailure::kReset,
                                                  AttemptFailure::kTruncated};
   calls_.erase(attempt);
   coordinator_.OnFailure(loop_.Now(), attempt,
                          kFailures[static_cast<std::size_t>(error)], detail);
-  touched_();
+  request_advance_();
 }
 
 }  // namespace gentianroute
--- a/packages/entry/src/cache_sync.cc
+++ b/packages/entry/src/cache_sync.cc
@@ -14,9 +14,9 @@
 constexpr int kOk = 200;
 constexpr int kHexadecimal = 16;
 /// Calls in one round; with more engines each is asked less often.
-constexpr std::size_t kAskedAtOnce = 16;
+constexpr std::size_t kMaxCallsPerRound = 16;
 /// An answer that takes longer does not come: its connection went silent.
-constexpr Duration kAnswersWithin = std::chrono::seconds(2);
+constexpr Duration kAnswerTimeout = std::chrono::seconds(2);
 
 std::set<std::string> EnginePools(const Catalogue& catalogue) {
   std::set<std::string> pools;
@@ -30,7 +30,7 @@
   return pools;
 }
 
-std::vector<std::uint64_t> PrefixesOf(const json& event, const char* field) {
+std::vector<std::uint64_t> ParsePrefixes(const json& event, const char* field) {
   std::vector<std::uint64_t> prefixes;
   for (const json& item : event.at(field)) {
     const auto& text = item.get_ref<const std::string&>();
@@ -56,7 +56,7 @@
 }
 
 void CacheSync::Poll(const Catalogue& catalogue) {
-  ForgetGone();
+  RemoveUnlistedEngines();
   const std::set<std::string> pools = EnginePools(catalogue);
   std::vector<ServerRef> followed;
   for (const auto& [name, server] : servers_.servers()) {
@@ -67,28 +67,28 @@
   // In turn, beginning behind the last one of the round before.
   const auto next =
       std::ranges::find_if(followed, [this](const ServerRef& server) {
-        return server->host.name > last_asked_;
+        return server->host.name > last_polled_;
       });
   std::rotate(followed.begin(), next, followed.end());
-  if (followed.size() > kAskedAtOnce) {
-    followed.resize(kAskedAtOnce);
+  if (followed.size() > kMaxCallsPerRound) {
+    followed.resize(kMaxCallsPerRound);
   }
   for (const ServerRef& server : followed) {
-    last_asked_ = server->host.name;
+    last_polled_ = server->host.name;
     Engine& engine = engines_[server->host.name];
-    GiveUpSilent(*server, engine);
-    if (!engine.asking) {
-      Ask(*server, engine);
+    CancelIfTimedOut(*server, engine);
+    if (!engine.call_pending) {
+      RequestEvents(*server, engine);
     }
   }
 }
 
-void CacheSync::ForgetGone() {
+void CacheSync::RemoveUnlistedEngines() {
   std::erase_if(engines_, [this](const auto& item) {
     if (servers_.servers().contains(item.first)) {
       return false;
     }
-    if (item.second.asking) {
+    if (item.second.call_pending) {
       client_.Cancel(item.second.call);
     }
     caches_.RemoveEngine(item.first);
@@ -102,23 +102,23 @@
          pools.contains(server.host.pool);
 }
 
-void CacheSync::GiveUpSilent(const Server& server, Engine& engine) {
+void CacheSync::CancelIfTimedOut(const Server& server, Engine& engine) {
   // A connection that lost its far end stays silent for good. Without this the
   // engine would never be asked again; a new connection works.
-  if (engine.asking && loop_.Now() >= engine.asked + kAnswersWithin) {
+  if (engine.call_pending && loop_.Now() >= engine.called_at + kAnswerTimeout) {
     client_.Cancel(engine.call);
     client_.DiscardIdleConnections(server.host.address, server.host.port);
-    engine.asking = false;
+    engine.call_pending = false;
   }
 }
 
-void CacheSync::Ask(const Server& server, Engine& engine) {
+void CacheSync::RequestEvents(const Server& server, Engine& engine) {
   HttpCall call;
   call.address = server.host.address;
   call.port = server.host.port;
   call.path = "/v1/cache-events?after=" + std::to_string(engine.sequence);
-  engine.asking = true;
-  engine.asked = loop_.Now();
+  engine.call_pending = true;
+  engine.called_at = loop_.Now();
   engine.call = client_.Call(std::move(call),
                              CollectResponse([this, name = server.host.name](
                                                  const HttpResult& result) {
@@ -131,12 +131,12 @@
   if (found == engines_.end()) {
     return;
   }
-  found->second.asking = false;
+  found->second.call_pending = false;
   if (!result.complete || result.status != kOk) {
     return;
   }
   try {
-    TakeIn(name, found->second, result.body);
+    ApplyEvents(name, found->second, result.body);
   } catch (const json::exception&) {
     // Not this protocol: what is believed of the cache can't be kept current.
     caches_.RemoveEngine(name);
@@ -144,9 +144,9 @@
   }
 }
 
-void CacheSync::TakeIn(const std::string& name,
-                       Engine& engine,
-                       std::string_view body) {
+void CacheSync::ApplyEvents(const std::string& name,
+                            Engine& engine,
+                            std::string_view body) {
   const json answer = json::parse(body);
   const auto incarnation = answer.at("incarnation").get<std::uint64_t>();
   if (incarnation != engine.incarnation) {
@@ -161,8 +161,8 @@
     }
   }
   for (const json& event : answer.at("events")) {
-    const std::vector<std::uint64_t> added = PrefixesOf(event, "added");
-    const std::vector<std::uint64_t> removed = PrefixesOf(event, "removed");
+    const std::vector<std::uint64_t> added = ParsePrefixes(event, "added");
+    const std::vector<std::uint64_t> removed = ParsePrefixes(event, "removed");
     engine.sequence = event.at("sequence").get<std::uint64_t>();
     caches_.OnEvent({name, incarnation, engine.sequence, added, removed});
   }
--- a/packages/entry/src/caller_api.cc
+++ b/packages/entry/src/caller_api.cc
@@ -25,16 +25,16 @@
 constexpr std::size_t kTraceParentCharacters = 55;
 // Longer than any profile's deadline, which caps it; keeps the sum of times
 // far from the end of their range.
-constexpr std::int64_t kLongestTimeoutMs = 24 * 60 * 60 * 1000;
+constexpr std::int64_t kMaxTimeoutMs = 24 * 60 * 60 * 1000;
 
 /// Why a request can't be taken, or nothing.
-struct Fault {
+struct RequestError {
   ErrorKind kind;
   std::string detail;
 };
 
-std::optional<Fault> ReadTimeout(const HttpRequest& request,
-                                 Duration& timeout) {
+std::optional<RequestError> ReadTimeout(const HttpRequest& request,
+                                        Duration& timeout) {
   const std::string_view text = FindHeader(request.headers, "x-timeout-ms");
   if (text.empty()) {
     return std::nullopt;
@@ -45,12 +45,11 @@
   const bool valid = error == std::errc() && end == text.data() + text.size() &&
                      milliseconds > 0;
   if (!valid) {
-    return Fault{ErrorKind::kMalformedRequest,
-                 "x-timeout-ms: found '" + std::string(text) +
-                     "'; allowed: a whole number above 0"};
+    return RequestError{ErrorKind::kMalformedRequest,
+                        "x-timeout-ms: found '" + std::string(text) +
+                            "'; allowed: a whole number above 0"};
   }
-  timeout =
-      std::chrono::milliseconds(std::min(milliseconds, kLongestTimeoutMs));
+  timeout = std::chrono::milliseconds(std::min(milliseconds, kMaxTimeoutMs));
   return std::nullopt;
 }
 
@@ -61,18 +60,18 @@
 /// The key goes on to backend servers in a header: a line break in it, which
 /// HTTP/2 lets through, would begin a header or a request of the caller's own
 /// making there. Visible characters only leave no such break.
-std::optional<Fault> CheckKey(std::string_view key) {
+std::optional<RequestError> CheckKey(std::string_view key) {
   if (key.size() <= kMaxKeyCharacters && IsVisibleAscii(key)) {
     return std::nullopt;
   }
-  return Fault{ErrorKind::kMalformedRequest,
-               "idempotency-key: found " + std::to_string(key.size()) +
-                   " characters; allowed: 1 to " +
-                   std::to_string(kMaxKeyCharacters) +
-                   " visible ASCII characters"};
+  return RequestError{ErrorKind::kMalformedRequest,
+                      "idempotency-key: found " + std::to_string(key.size()) +
+                          " characters; allowed: 1 to " +
+                          std::to_string(kMaxKeyCharacters) +
+                          " visible ASCII characters"};
 }
 
-std::optional<Fault> CheckHeaderSize(const HttpHeaders& headers) {
+std::optional<RequestError> CheckHeaderSize(const HttpHeaders& headers) {
   std::size_t size = 0;
   for (const HttpHeader& header : headers) {
     size += header.name.size() + header.value.size();
@@ -80,14 +79,15 @@
   if (size <= kMaxHeaderBytes) {
     return std::nullopt;
   }
-  return Fault{ErrorKind::kHeadersTooLarge,
-               "the headers have " + std::to_string(size) +
-                   " bytes; allowed: " + std::to_string(kMaxHeaderBytes)};
+  return RequestError{
+      ErrorKind::kHeadersTooLarge,
+      "the headers have " + std::to_string(size) +
+          " bytes; allowed: " + std::to_string(kMaxHeaderBytes)};
 }
 
 /// A trace context as it goes on; anything else is left out, as its standard
 /// asks, and could break out of its header as a key could.
-std::string_view TraceParentOf(const HttpRequest& request) {
+std::string_view ReadTraceParent(const HttpRequest& request) {
   const std::string_view text = FindHeader(request.headers, "traceparent");
   const bool valid =
       text.size() == kTraceParentCharacters &&
@@ -97,7 +97,7 @@
 
 /// Requests of one conversation share a prompt prefix, which an engine that
 /// served it before still has in its cache.
-std::uint64_t PrefixOf(const json& body) {
+std::uint64_t HashPrefix(const json& body) {
   for (const char* field : {"conversation", "prompt"}) {
     if (!body.is_object() || !body.contains(field) ||
         !body[field].is_string()) {
@@ -112,15 +112,15 @@
 }
 
 /// Reads what the coordinator needs of a request.
-std::optional<Fault> ReadSubmission(HttpRequest& request,
-                                    const Caller& caller,
-                                    Submission& submission) {
-  if (auto fault = ReadTimeout(request, submission.timeout)) {
-    return fault;
+std::optional<RequestError> ReadSubmission(HttpRequest& request,
+                                           const Caller& caller,
+                                           Submission& submission) {
+  if (auto request_error = ReadTimeout(request, submission.timeout)) {
+    return request_error;
   }
   submission.key = FindHeader(request.headers, "idempotency-key");
-  if (auto fault = CheckKey(submission.key)) {
-    return fault;
+  if (auto request_error = CheckKey(submission.key)) {
+    return request_error;
   }
   json body;
   try {
@@ -128,8 +128,8 @@
   } catch (const json::exception& error) {
     // Not parse_error alone: a number out of range is another kind, and an
     // exception that leaves the handler ends the daemon.
-    return Fault{ErrorKind::kMalformedRequest,
-                 std::string("the body is not JSON: ") + error.what()};
+    return RequestError{ErrorKind::kMalformedRequest,
+                        std::string("the body is not JSON: ") + error.what()};
   }
   submission.service = request.path.substr(kServicePrefix.size());
   submission.organisation = caller.organisation;
@@ -138,16 +138,16 @@
   submission.body_digest = Sha256Hex(request.body);
   submission.fingerprint =
       Fingerprint{FastHash(submission.service + "\n" + request.body)};
-  submission.prefix = PrefixOf(body);
+  submission.prefix = HashPrefix(body);
   submission.body = std::move(request.body);
   submission.wants_stream =
       FindHeader(request.headers, "accept") == kEventStream;
-  submission.trace_parent = TraceParentOf(request);
+  submission.trace_parent = ReadTraceParent(request);
   return std::nullopt;
 }
 
 /// One line for each request; neither its key nor its body is in it.
-void LogFinish(const FinishRequest& finish, std::string_view request_id) {
+void LogRequest(const FinishRequest& finish, std::string_view request_id) {
   std::uint32_t attempts = 0;
   for (const StageReport& stage : finish.stages) {
     attempts += stage.attempts;
@@ -219,12 +219,12 @@
                      Coordinator& coordinator,
                      CallerTable callers,
                      std::string id_prefix,
-                     std::function<void()> touched)
+                     std::function<void()> request_advance)
     : loop_(loop),
       coordinator_(coordinator),
       callers_(std::move(callers)),
       id_prefix_(std::move(id_prefix)),
-      touched_(std::move(touched)) {}
+      request_advance_(std::move(request_advance)) {}
 
 const Caller* CallerApi::Authenticate(const HttpRequest& request) const {
   const std::string_view header = FindHeader(request.headers, "authorization");
@@ -239,11 +239,12 @@
   return id_prefix_ + "-" + std::to_string(request.value);
 }
 
-void CallerApi::Refuse(ErrorKind kind,
+void CallerApi::Reject(ErrorKind kind,
                        std::string_view detail,
                        const HttpRequest& request,
                        HttpResponder& responder) {
-  const std::string id = id_prefix_ + "-refused-" + std::to_string(++refused_);
+  const std::string id =
+      id_prefix_ + "-refused-" + std::to_string(++rejected_count_);
   const bool has_key = !FindHeader(request.headers, "idempotency-key").empty();
   HttpResponse response = ProblemResponse(kind, detail, id, !has_key);
   if (kind == ErrorKind::kMethodNotAllowed) {
@@ -259,35 +260,35 @@
 
 void CallerApi::OnRequest(HttpRequest request,
                           std::shared_ptr<HttpResponder> responder) {
-  const auto refuse = [&](ErrorKind kind, std::string_view detail) {
-    Refuse(kind, detail, request, *responder);
+  const auto reject = [&](ErrorKind kind, std::string_view detail) {
+    Reject(kind, detail, request, *responder);
   };
   if (request.over_limit) {
-    refuse(ErrorKind::kTooManyConnections,
+    reject(ErrorKind::kTooManyConnections,
            "this connection is one more than the daemon takes");
     return;
   }
-  if (const auto fault = CheckHeaderSize(request.headers)) {
-    refuse(fault->kind, fault->detail);
+  if (const auto request_error = CheckHeaderSize(request.headers)) {
+    reject(request_error->kind, request_error->detail);
     return;
   }
   if (!request.path.starts_with(kServicePrefix)) {
-    refuse(ErrorKind::kUnknownService, "no path '" + request.path + "'");
+    reject(ErrorKind::kUnknownService, "no path '" + request.path + "'");
     return;
   }
   if (request.method != "POST") {
-    refuse(ErrorKind::kMethodNotAllowed,
+    reject(ErrorKind::kMethodNotAllowed,
            request.method + " on " + request.path + "; POST is allowed");
     return;
   }
   const Caller* caller = Authenticate(request);
   if (caller == nullptr) {
-    refuse(ErrorKind::kUnauthorised, "the bearer key is not known");
+    reject(ErrorKind::kUnauthorised, "the bearer key is not known");
     return;
   }
   Submission submission;
-  if (const auto fault = ReadSubmission(request, *caller, submission)) {
-    refuse(fault->kind, fault->detail);
+  if (const auto request_error = ReadSubmission(request, *caller, submission)) {
+    reject(request_error->kind, request_error->detail);
     return;
   }
   Submit(std::move(submission), std::move(responder));
@@ -303,9 +304,9 @@
   reference.SetOnDisconnect([this, id] {
     exchanges_.erase(id);
     coordinator_.OnCallerGone(loop_.Now(), id);
-    touched_();
+    request_advance_();
   });
-  touched_();
+  request_advance_();
 }
 
 void CallerApi::Deliver(const DeliverChunk& chunk) {
@@ -326,7 +327,7 @@
 }
 
 void CallerApi::Finish(const FinishRequest& finish) {
-  LogFinish(finish, PublicId(finish.request));
+  LogRequest(finish, PublicId(finish.request));
   const auto found = exchanges_.find(finish.request);
   if (found == exchanges_.end()) {
     return;
--- a/packages/entry/src/history_sync.cc
+++ b/packages/entry/src/history_sync.cc
@@ -8,7 +8,7 @@
 namespace {
 
 constexpr Duration kSavePeriod = std::chrono::minutes(10);
-constexpr Duration kReadAgain = std::chrono::seconds(5);
+constexpr Duration kReadRetryDelay = std::chrono::seconds(5);
 
 }  // namespace
 
@@ -22,17 +22,17 @@
       object_("service-levels/" + std::string(daemon)) {}
 
 void HistorySync::Start() {
-  Read();
+  Load();
   loop_.Every(kSavePeriod, [this] { Save(); });
 }
 
-void HistorySync::Read() {
+void HistorySync::Load() {
   store_.Get(object_, [this](const ObjectResult& result) {
     if (!result.answered) {
-      loop_.After(kReadAgain, [this] { Read(); });
+      loop_.After(kReadRetryDelay, [this] { Load(); });
       return;
     }
-    read_ = true;
+    loaded_ = true;
     const TimePoint now{Duration(loop_.WallTime())};
     if (result.content.has_value() && !levels_.Import(now, *result.content)) {
       LogEvent("history_unreadable", LogLevel::kWarning)
@@ -42,7 +42,7 @@
 }
 
 void HistorySync::Save() {
-  if (!read_) {
+  if (!loaded_) {
     return;
   }
   store_.Put(object_, levels_.Export(), [this](bool stored) {
