--- a/apps/gentianroute/main.cc
+++ b/apps/gentianroute/main.cc
@@ -33,7 +33,7 @@
   try {
     EventLoop loop;
     Daemon daemon(loop, settings);
-    daemon.SetStop([&loop] { loop.Stop(); });
+    daemon.SetStopCallback([&loop] { loop.Stop(); });
     loop.OnSignal(SIGTERM, [&] { daemon.Drain([&loop] { loop.Stop(); }); });
     loop.OnSignal(SIGINT, [&] { daemon.Drain([&loop] { loop.Stop(); }); });
     event = "run_failed";
--- a/packages/entry/include/gentianroute/entry/claim_sync.h
+++ b/packages/entry/include/gentianroute/entry/claim_sync.h
@@ -15,20 +15,20 @@
   ClaimSync(EventLoop& loop,
             TableService& tables,
             ClaimLedger& ledger,
-            std::function<void()> touched)
+            std::function<void()> request_advance)
       : loop_(loop),
         tables_(tables),
         ledger_(ledger),
-        touched_(std::move(touched)) {}
+        request_advance_(std::move(request_advance)) {}
 
   /// @brief Sends what the ledger wants done.
-  void Pump();
+  void SendOperations();
 
  private:
   EventLoop& loop_;
   TableService& tables_;
   ClaimLedger& ledger_;
-  std::function<void()> touched_;
+  std::function<void()> request_advance_;
 };
 
 }  // namespace gentianroute
--- a/packages/entry/include/gentianroute/entry/config_sync.h
+++ b/packages/entry/include/gentianroute/entry/config_sync.h
@@ -14,35 +14,36 @@
 /// @brief Follows the configuration log in the store and appends to it.
 class ConfigSync {
  public:
-  using Done = std::function<void(const ConfigApply&)>;
+  using DoneCallback = std::function<void(const ConfigApply&)>;
 
   /// @param changed called when a newer revision is in force
   ConfigSync(TableService& tables,
              ObjectStore& objects,
              ConfigFollower& follower,
              const ConfigCodec& codec,
-             std::function<void()> changed,
+             std::function<void()> on_changed,
              ConfigRetention retention = {});
 
   /// @brief Reads what follows the present revision.
   /// @param done called with whether the store answered
   void Poll(std::function<void(bool)> done);
   /// @brief Takes an operator's change through to its end.
-  void Apply(ConfigRevision change, const Done& done);
+  void Apply(ConfigRevision change, const DoneCallback& done);
 
  private:
-  void Step(const std::shared_ptr<ConfigApply>& apply, const Done& done);
+  void Advance(const std::shared_ptr<ConfigApply>& apply,
+               const DoneCallback& done);
   void SnapshotIfDue(const ConfigApply& apply);
-  void StepSnapshot();
-  void NoteChange();
+  void AdvanceSnapshot();
+  void ReportChange();
 
   TableService& tables_;
   ObjectStore& objects_;
   ConfigFollower& follower_;
   const ConfigCodec& codec_;
-  std::function<void()> changed_;
+  std::function<void()> on_changed_;
   ConfigRetention retention_;
-  std::uint64_t noted_revision_ = 0;
+  std::uint64_t reported_revision_ = 0;
   ConfigSnapshotter snapshotter_;
   bool polling_ = false;
 };
--- a/packages/entry/include/gentianroute/entry/daemon.h
+++ b/packages/entry/include/gentianroute/entry/daemon.h
@@ -45,33 +45,36 @@
   void Drain(std::function<void()> done);
 
   /// @brief What ends the process once an operator's drain is through.
-  void SetStop(std::function<void()> stop) { stop_ = std::move(stop); }
+  void SetStopCallback(std::function<void()> stop) {
+    stop_callback_ = std::move(stop);
+  }
 
-  std::uint16_t caller_port() const { return callers_->port(); }
-  std::uint16_t operator_port() const { return operators_->port(); }
-  std::uint16_t peer_port() const { return peers_->port(); }
+  std::uint16_t caller_port() const { return caller_server_->port(); }
+  std::uint16_t operator_port() const { return operator_server_->port(); }
+  std::uint16_t peer_port() const { return peer_links_->port(); }
 
  private:
   // OperatorHandler.
-  bool Ready() const override;
+  bool IsReady() const override;
   nlohmann::json Status() const override;
-  nlohmann::json DocumentsInForce() const override;
-  const gentianroute::Documents& PresentDocuments() const override {
+  nlohmann::json ListDocuments() const override;
+  const gentianroute::Documents& CurrentDocuments() const override {
     return follower_.documents();
   }
   nlohmann::json History() const override;
   nlohmann::json Report() const override;
   std::string Metrics() const override;
-  void Apply(ConfigRevision change, const ConfigSync::Done& done) override;
+  void Apply(ConfigRevision change,
+             const ConfigSync::DoneCallback& done) override;
   void StartDrain() override;
 
   void Listen();
-  void Schedule();
-  void Touch();
-  void Pump();
+  void StartTimers();
+  void RequestAdvance();
+  void AdvanceCoordinator();
   void Execute(Action& action);
-  void Ask(const QueryClaimHolder& ask);
-  void Rearm();
+  void SendClaimQuery(const QueryClaimHolder& query);
+  void ScheduleWakeup();
   void PollHosts();
   void PollConfig();
   void ApplyHosts(const std::vector<HostRecord>& hosts);
@@ -103,21 +106,21 @@
   OrderSync order_sync_;
   CallerApi caller_api_;
   OperatorApi operator_api_;
-  std::unique_ptr<HttpServer> callers_;
-  std::unique_ptr<HttpServer> operators_;
-  ServiceLevels levels_;
+  std::unique_ptr<HttpServer> caller_server_;
+  std::unique_ptr<HttpServer> operator_server_;
+  ServiceLevels service_levels_;
   HistorySync history_sync_;
   std::vector<PeerAddress> seeds_;
   PeerRevisions peer_revisions_;
   PeerService peer_service_;
-  std::unique_ptr<PeerLinks> peers_;
+  std::unique_ptr<PeerLinks> peer_links_;
   RequestMetrics metrics_;
-  std::function<void()> stop_ = [] {};
-  TimerId wake_;
-  bool pumping_ = false;
-  bool touched_ = false;
+  std::function<void()> stop_callback_ = [] {};
+  TimerId wakeup_timer_;
+  bool advancing_ = false;
+  bool advance_requested_ = false;
   bool draining_ = false;
-  std::function<void()> drained_;
+  std::function<void()> on_drained_;
 };
 
 }  // namespace gentianroute
--- a/packages/entry/include/gentianroute/entry/daemon_options.h
+++ b/packages/entry/include/gentianroute/entry/daemon_options.h
@@ -19,9 +19,9 @@
 
 // The settings as options of the daemon's parts.
 
-std::map<std::string, PathCost> PathsOf(schema::Settings::Reader settings);
+std::map<std::string, PathCost> PathCosts(schema::Settings::Reader settings);
 
-std::vector<PeerAddress> SeedsOf(schema::Settings::Reader settings);
+std::vector<PeerAddress> SeedPeers(schema::Settings::Reader settings);
 
 HttpServer::Options ServerOptions(schema::Listener::Reader listener,
                                   schema::Limits::Reader limits);
--- a/packages/entry/include/gentianroute/entry/operator_api.h
+++ b/packages/entry/include/gentianroute/entry/operator_api.h
@@ -16,14 +16,15 @@
 class OperatorHandler {
  public:
   virtual ~OperatorHandler() = default;
-  virtual bool Ready() const = 0;
+  virtual bool IsReady() const = 0;
   virtual nlohmann::json Status() const = 0;
-  virtual nlohmann::json DocumentsInForce() const = 0;
-  virtual const gentianroute::Documents& PresentDocuments() const = 0;
+  virtual nlohmann::json ListDocuments() const = 0;
+  virtual const gentianroute::Documents& CurrentDocuments() const = 0;
   virtual nlohmann::json History() const = 0;
   virtual nlohmann::json Report() const = 0;
   virtual std::string Metrics() const = 0;
-  virtual void Apply(ConfigRevision change, const ConfigSync::Done& done) = 0;
+  virtual void Apply(ConfigRevision change,
+                     const ConfigSync::DoneCallback& done) = 0;
   virtual void StartDrain() = 0;
 };
 
@@ -39,8 +40,8 @@
  private:
   using Route = void (OperatorApi::*)(const HttpRequest&,
                                       const std::shared_ptr<HttpResponder>&);
-  struct RouteRow;
-  static const RouteRow kRoutes[];
+  struct RouteEntry;
+  static const RouteEntry kRoutes[];
 
   void Health(const HttpRequest& request,
               const std::shared_ptr<HttpResponder>& responder);
--- a/packages/entry/include/gentianroute/entry/order_sync.h
+++ b/packages/entry/include/gentianroute/entry/order_sync.h
@@ -26,7 +26,7 @@
     std::uint64_t incarnation = 0;
     /// Daemons that compete for one pool's lease, by rendezvous hash; the
     /// others leave the store alone.
-    std::size_t candidates = 3;
+    std::size_t max_candidates = 3;
   };
 
   OrderSync(EventLoop& loop,
@@ -45,19 +45,19 @@
   /// flight.
   void StartDrain() { draining_ = true; }
   /// @brief Pools whose lease this daemon holds.
-  std::size_t held() const;
+  std::size_t held_lease_count() const;
 
  private:
   struct Pool;
   class OrderCall;
 
-  void TickLease(const std::shared_ptr<Pool>& pool);
-  void TickOrders(const std::shared_ptr<Pool>& pool);
-  void Read(const std::shared_ptr<Pool>& pool, const std::string& engine);
-  void Send(const std::shared_ptr<Pool>& pool, const EngineOrder& order);
+  void AdvanceLease(const std::shared_ptr<Pool>& pool);
+  void AdvanceOrders(const std::shared_ptr<Pool>& pool);
+  void ReadState(const std::shared_ptr<Pool>& pool, const std::string& engine);
+  void SendOrder(const std::shared_ptr<Pool>& pool, const EngineOrder& order);
   /// Ends a call that takes longer than any order may.
-  void Limit(const std::shared_ptr<HttpCallId>& call);
-  void GiveHosts(Pool& pool);
+  void CancelAfterTimeout(const std::shared_ptr<HttpCallId>& call);
+  void UpdateEngines(Pool& pool);
 
   EventLoop& loop_;
   TableService& tables_;
--- a/packages/entry/include/gentianroute/entry/peer_links.h
+++ b/packages/entry/include/gentianroute/entry/peer_links.h
@@ -56,9 +56,9 @@
     std::string name;
     std::string address;
     std::uint16_t port = 0;
-    std::size_t fanout = 1;         ///< peers in a round
-    std::size_t rumour_fanout = 2;  ///< peers that hear news at once
-    std::uint32_t rumours = 1;      ///< extra rounds in a period
+    std::size_t fanout = 1;           ///< peers in a round
+    std::size_t rumour_fanout = 2;    ///< peers that hear news at once
+    std::uint32_t rumour_rounds = 1;  ///< extra rounds in a period
     Duration call_timeout = std::chrono::seconds(1);
     std::uint64_t seed = 1;
   };
@@ -75,7 +75,7 @@
   void Gossip();
   /// @brief A round at once, for news; only a few in each period, so that a
   /// burst of news costs no more than the period's rounds do.
-  void Rumour();
+  void SpreadRumour();
 
   /// @brief Asks a peer for what follows a revision; OnRevisions() hears it.
   /// A peer that no longer keeps all of it is asked for a snapshot instead.
@@ -86,10 +86,10 @@
 
   /// @brief Asks a daemon for the outcome of a claim.
   /// @param done called once; kUnknown if it is not reached in time
-  void AskOutcome(std::string_view daemon,
-                  const Claim& claim,
-                  Duration timeout,
-                  std::function<void(JoinOutcome)> done);
+  void QueryOutcome(std::string_view daemon,
+                    const Claim& claim,
+                    Duration timeout,
+                    std::function<void(JoinOutcome)> done);
 
   void Stop();
 
@@ -97,23 +97,23 @@
   class Service;
   struct Link;
 
-  Link* LinkTo(const PeerAddress& peer);
-  const PeerAddress* Find(std::string_view name) const;
-  void Round(std::size_t fanout);
-  void Exchange(const PeerAddress& peer);
-  void ExchangeNow(Link& link);
-  void FetchNow(Link& link, std::uint64_t after);
-  void FetchSnapshot(Link& link);
-  void FetchHostsNow(Link& link);
+  Link* GetOrCreateLink(const PeerAddress& peer);
+  const PeerAddress* FindPeer(std::string_view name) const;
+  void StartRound(std::size_t fanout);
+  void StartExchange(const PeerAddress& peer);
+  void SendDigest(Link& link);
+  void RequestRevisions(Link& link, std::uint64_t after);
+  void RequestSnapshot(Link& link);
+  void RequestHosts(Link& link);
   /// Calls back once the link is connected; never if it does not come up.
   void WhenConnected(const std::string& peer,
-                     std::uint32_t checks,
+                     std::uint32_t polls_left,
                      const std::function<void(Link&)>& done);
-  void DropIdle();
+  void DropIdleLinks();
   void DropLink(const std::string& peer);
-  kj::Promise<void> Guard(kj::Promise<void> call,
-                          const std::string& peer,
-                          Duration timeout);
+  kj::Promise<void> AddTimeout(kj::Promise<void> call,
+                               const std::string& peer,
+                               Duration timeout);
 
   EventLoop& loop_;
   Options options_;
@@ -122,7 +122,7 @@
   std::vector<PeerAddress> peers_;
   std::map<std::string, std::unique_ptr<Link>, std::less<>> links_;
   std::uint64_t round_ = 0;
-  std::uint32_t rumours_left_ = 0;
+  std::uint32_t rumour_rounds_left_ = 0;
   std::unique_ptr<RpcServer> server_;
   struct Tasks;
   std::unique_ptr<Tasks> tasks_;
--- a/packages/entry/include/gentianroute/entry/peer_revisions.h
+++ b/packages/entry/include/gentianroute/entry/peer_revisions.h
@@ -17,17 +17,17 @@
 class PeerRevisions {
  public:
   /// A peer that was silent for longer counts as out of reach.
-  static constexpr Duration kReach = std::chrono::seconds(10);
+  static constexpr Duration kSilenceTimeout = std::chrono::seconds(10);
 
   /// @param started when this daemon began to listen
   explicit PeerRevisions(TimePoint started) : started_(started) {}
 
   /// @brief A peer that the host list names.
-  void Know(std::string_view peer, std::string_view data_centre);
+  void AddListed(std::string_view peer, std::string_view data_centre);
   /// @brief Forgets peers that Know() has not named since the last call.
-  void ForgetOthers();
+  void RemoveUnlisted();
   /// @brief A peer told its revision; passed over if the list has not named it.
-  void Heard(TimePoint now, std::string_view peer, std::uint64_t revision);
+  void OnRevision(TimePoint now, std::string_view peer, std::uint64_t revision);
 
   /// @brief One object a peer: name, data_centre, revision, heard_ms_ago (null:
   /// never) and reachable.
--- a/packages/entry/include/gentianroute/entry/peer_service.h
+++ b/packages/entry/include/gentianroute/entry/peer_service.h
@@ -24,7 +24,7 @@
 class PeerService final : public PeerHandler {
  public:
   /// @brief The state that peers share; outlives the service.
-  struct Parts {
+  struct Dependencies {
     schema::Settings::Reader settings;
     std::uint64_t incarnation;
     ServerTable& servers;
@@ -37,16 +37,16 @@
     Coordinator& coordinator;
   };
 
-  using HostsHeard = std::function<void(const std::vector<HostRecord>&)>;
+  using HostsCallback = std::function<void(const std::vector<HostRecord>&)>;
 
   /// @param changed called when a peer brought a newer revision
   /// @param hosts_heard called with a peer's host list while there is none
   /// @param touch called when the coordinator has something to do
   PeerService(EventLoop& loop,
-              const Parts& parts,
-              std::function<void()> changed,
-              HostsHeard hosts_heard,
-              std::function<void()> touch);
+              const Dependencies& dependencies,
+              std::function<void()> on_config_changed,
+              HostsCallback on_hosts_received,
+              std::function<void()> request_advance);
 
   /// @brief The links over which news goes out; set once, before any call.
   void SetLinks(PeerLinks& links) { links_ = &links; }
@@ -54,9 +54,9 @@
   void SetHosts(const std::vector<HostRecord>& hosts);
   /// @brief Whether it has a host list, of the platform's or a peer's.
   bool knows_hosts() const { return knows_hosts_; }
-  void BeginDrain() { draining_ = true; }
+  void StartDrain() { draining_ = true; }
   /// @brief Tells peers at once of servers that are found to be leaving.
-  void NoteLeaving();
+  void AnnounceLeaving();
   /// @brief Answers a peer that joined a request here.
   void Answer(const AnswerJoin& answer);
 
@@ -66,7 +66,9 @@
   std::vector<ConfigRevision> RevisionsAfter(std::uint64_t revision,
                                              std::size_t limit) override;
   void OnRevisions(const std::vector<ConfigRevision>& revisions) override;
-  ConfigSnapshot Snapshot() override { return parts_.follower.Snapshot(); }
+  ConfigSnapshot Snapshot() override {
+    return dependencies_.follower.Snapshot();
+  }
   void OnSnapshot(const ConfigSnapshot& snapshot) override;
   std::span<const HostRecord> Hosts() const override { return hosts_; }
   void OnHosts(const std::vector<HostRecord>& hosts) override;
@@ -75,15 +77,15 @@
 
  private:
   EventLoop& loop_;
-  Parts parts_;
-  std::function<void()> changed_;
-  HostsHeard hosts_heard_;
-  std::function<void()> touch_;
+  Dependencies dependencies_;
+  std::function<void()> on_config_changed_;
+  HostsCallback on_hosts_received_;
+  std::function<void()> request_advance_;
   std::vector<HostRecord> hosts_;
   bool knows_hosts_ = false;
   PeerLinks* links_ = nullptr;
   std::unordered_map<JoinId, std::function<void(JoinOutcome)>> joins_;
-  std::size_t quarantine_turn_ = 0;
+  std::size_t quarantine_offset_ = 0;
   bool draining_ = false;
 };
 
--- a/packages/entry/include/gentianroute/entry/report.h
+++ b/packages/entry/include/gentianroute/entry/report.h
@@ -19,7 +19,8 @@
 nlohmann::json StagesReport(const RequestMetrics& metrics);
 
 /// @brief Servers that get no work now, with the reason.
-nlohmann::json OutOfFavourReport(const ServerTable& servers, TimePoint now);
+nlohmann::json UnavailableServersReport(const ServerTable& servers,
+                                        TimePoint now);
 
 /// @brief Every known server, with its load and what calls to it came to.
 nlohmann::json ServersReport(const ServerTable& servers, TimePoint now);
--- a/packages/entry/src/claim_sync.cc
+++ b/packages/entry/src/claim_sync.cc
@@ -4,21 +4,21 @@
 
 namespace gentianroute {
 
-void ClaimSync::Pump() {
-  for (ClaimOperation& step : ledger_.TakeOperations()) {
-    const std::uint64_t number = step.id;
-    if (step.kind == ClaimOperation::Kind::kRead) {
-      tables_.Read(std::move(step.reads),
-                   [this, number](const ReadResult& result) {
-                     ledger_.OnRead(loop_.Now(), number, result);
-                     touched_();
+void ClaimSync::SendOperations() {
+  for (ClaimOperation& operation : ledger_.TakeOperations()) {
+    const std::uint64_t id = operation.id;
+    if (operation.kind == ClaimOperation::Kind::kRead) {
+      tables_.Read(std::move(operation.reads),
+                   [this, id](const ReadResult& result) {
+                     ledger_.OnRead(loop_.Now(), id, result);
+                     request_advance_();
                    });
       continue;
     }
-    tables_.Transact(std::move(step.transaction),
-                     [this, number](const TransactResult& result) {
-                       ledger_.OnTransacted(loop_.Now(), number, result);
-                       touched_();
+    tables_.Transact(std::move(operation.transaction),
+                     [this, id](const TransactResult& result) {
+                       ledger_.OnTransacted(loop_.Now(), id, result);
+                       request_advance_();
                      });
   }
 }
--- a/packages/entry/src/config_sync.cc
+++ b/packages/entry/src/config_sync.cc
@@ -8,13 +8,13 @@
                        ObjectStore& objects,
                        ConfigFollower& follower,
                        const ConfigCodec& codec,
-                       std::function<void()> changed,
+                       std::function<void()> on_changed,
                        ConfigRetention retention)
     : tables_(tables),
       objects_(objects),
       follower_(follower),
       codec_(codec),
-      changed_(std::move(changed)),
+      on_changed_(std::move(on_changed)),
       retention_(retention),
       snapshotter_(retention, codec) {}
 
@@ -31,47 +31,47 @@
         });
 }
 
-void ConfigSync::NoteChange() {
-  if (follower_.revision() != noted_revision_) {
-    noted_revision_ = follower_.revision();
-    changed_();
+void ConfigSync::ReportChange() {
+  if (follower_.revision() != reported_revision_) {
+    reported_revision_ = follower_.revision();
+    on_changed_();
   }
 }
 
-void ConfigSync::Apply(ConfigRevision change, const Done& done) {
+void ConfigSync::Apply(ConfigRevision change, const DoneCallback& done) {
   ConfigApply::Options options;
   options.retention = retention_;
   auto apply = std::make_shared<ConfigApply>(options, std::move(change),
                                              follower_, codec_);
-  Step(apply, done);
+  Advance(apply, done);
 }
 
-void ConfigSync::Step(const std::shared_ptr<ConfigApply>& apply,
-                      const Done& done) {
+void ConfigSync::Advance(const std::shared_ptr<ConfigApply>& apply,
+                         const DoneCallback& done) {
   switch (apply->state()) {
     case ConfigApply::State::kRead:
       tables_.Read(apply->reads(),
                    [this, apply, done](const ReadResult& result) {
                      apply->OnRead(result);
-                     Step(apply, done);
+                     Advance(apply, done);
                    });
       return;
     case ConfigApply::State::kTransact:
       tables_.Transact(apply->transaction(),
                        [this, apply, done](const TransactResult& result) {
                          apply->OnTransacted(result);
-                         Step(apply, done);
+                         Advance(apply, done);
                        });
       return;
     case ConfigApply::State::kGetObject:
       objects_.Get(apply->object(),
                    [this, apply, done](const ObjectResult& result) {
                      apply->OnObject(result.content);
-                     Step(apply, done);
+                     Advance(apply, done);
                    });
       return;
     default:
-      NoteChange();
+      ReportChange();
       SnapshotIfDue(*apply);
       done(*apply);
   }
@@ -80,30 +80,30 @@
 void ConfigSync::SnapshotIfDue(const ConfigApply& apply) {
   const bool applied = apply.state() == ConfigApply::State::kApplied;
   if (applied && snapshotter_.Begin(follower_, apply.revision())) {
-    StepSnapshot();
+    AdvanceSnapshot();
   }
 }
 
-void ConfigSync::StepSnapshot() {
+void ConfigSync::AdvanceSnapshot() {
   switch (snapshotter_.state()) {
     case ConfigSnapshotter::State::kPut:
       objects_.Put(snapshotter_.object(), snapshotter_.content(),
                    [this](bool stored) {
                      snapshotter_.OnPut(stored);
-                     StepSnapshot();
+                     AdvanceSnapshot();
                    });
       return;
     case ConfigSnapshotter::State::kRead:
       tables_.Read(snapshotter_.reads(), [this](const ReadResult& result) {
         snapshotter_.OnRead(result);
-        StepSnapshot();
+        AdvanceSnapshot();
       });
       return;
     case ConfigSnapshotter::State::kTransact:
       tables_.Transact(snapshotter_.transaction(),
                        [this](const TransactResult& result) {
                          snapshotter_.OnTransacted(result);
-                         StepSnapshot();
+                         AdvanceSnapshot();
                        });
       return;
     case ConfigSnapshotter::State::kIdle:
--- a/packages/entry/src/daemon.cc
+++ b/packages/entry/src/daemon.cc
@@ -15,12 +15,12 @@
 
 constexpr Duration kOrderPeriod = milliseconds(250);
 constexpr Duration kGossipPeriod = std::chrono::seconds(1);
-constexpr Duration kCachePeriod = milliseconds(500);
-constexpr std::size_t kHeavyRecords = 16;
-constexpr Duration kShortestWake = std::chrono::microseconds(100);
+constexpr Duration kCachePollPeriod = milliseconds(500);
+constexpr std::size_t kMaxHeaviest = 16;
+constexpr Duration kMinWakeupDelay = std::chrono::microseconds(100);
 
 /// Service levels outlive the process, so their time is the wall clock's.
-TimePoint WallPoint(const EventLoop& loop) {
+TimePoint WallTimePoint(const EventLoop& loop) {
   return TimePoint{Duration(loop.WallTime())};
 }
 
@@ -36,7 +36,7 @@
                 {settings.get().getPlatform().getAddress().cStr(),
                  settings.get().getPlatform().getPort(),
                  milliseconds(settings.get().getPlatform().getTimeoutMs())}),
-      servers_(TableOptions(settings.get()), PathsOf(settings.get())),
+      servers_(TableOptions(settings.get()), PathCosts(settings.get())),
       cache_sync_(loop,
                   client_,
                   servers_,
@@ -48,8 +48,8 @@
                    usage_,
                    suspects_,
                    claims_),
-      backend_calls_(loop, client_, coordinator_, [this] { Touch(); }),
-      claim_sync_(loop, platform_, claims_, [this] { Touch(); }),
+      backend_calls_(loop, client_, coordinator_, [this] { RequestAdvance(); }),
+      claim_sync_(loop, platform_, claims_, [this] { RequestAdvance(); }),
       config_sync_(platform_,
                    platform_,
                    follower_,
@@ -65,10 +65,13 @@
                   MakeCallerTable(settings.get()),
                   std::string(settings.get().getName().cStr()) + "-" +
                       std::to_string(incarnation_),
-                  [this] { Touch(); }),
+                  [this] { RequestAdvance(); }),
       operator_api_(loop, *this),
-      history_sync_(loop, platform_, levels_, settings.get().getName().cStr()),
-      seeds_(SeedsOf(settings.get())),
+      history_sync_(loop,
+                    platform_,
+                    service_levels_,
+                    settings.get().getName().cStr()),
+      seeds_(SeedPeers(settings.get())),
       peer_revisions_(loop.Now()),
       peer_service_(
           loop,
@@ -76,42 +79,42 @@
            suspects_, follower_, poll_schedule_, peer_revisions_, coordinator_},
           [this] { OnConfigChanged(); },
           [this](const std::vector<HostRecord>& hosts) { ApplyHosts(hosts); },
-          [this] { Touch(); }) {
+          [this] { RequestAdvance(); }) {
   Listen();
-  Schedule();
+  StartTimers();
   PollHosts();
   PollConfig();
   LogEvent("started")
       .Field("name", settings.get().getName().cStr())
       .Field("data_centre", settings.get().getDataCentre().cStr())
-      .Field("callers", callers_->port())
-      .Field("operators", operators_->port())
-      .Field("peers", peers_->port());
+      .Field("callers", caller_server_->port())
+      .Field("operators", operator_server_->port())
+      .Field("peers", peer_links_->port());
 }
 
 void Daemon::Listen() {
   const auto root = settings_.get();
-  callers_ = std::make_unique<HttpServer>(
+  caller_server_ = std::make_unique<HttpServer>(
       loop_, ServerOptions(root.getCallers(), root.getLimits()),
       [this](HttpRequest request, std::shared_ptr<HttpResponder> responder) {
         caller_api_.OnRequest(std::move(request), std::move(responder));
       });
-  operators_ = std::make_unique<HttpServer>(
+  operator_server_ = std::make_unique<HttpServer>(
       loop_, ServerOptions(root.getOperators(), root.getLimits()),
       [this](const HttpRequest& request,
              const std::shared_ptr<HttpResponder>& responder) {
         operator_api_.OnRequest(request, responder);
       });
-  peers_ = std::make_unique<PeerLinks>(loop_, PeerOptions(root, incarnation_),
-                                       peer_service_);
-  peer_service_.SetLinks(*peers_);
-  peers_->SetPeers(seeds_);
+  peer_links_ = std::make_unique<PeerLinks>(
+      loop_, PeerOptions(root, incarnation_), peer_service_);
+  peer_service_.SetLinks(*peer_links_);
+  peer_links_->SetPeers(seeds_);
   for (const PeerAddress& seed : seeds_) {
-    peer_revisions_.Know(seed.name, seed.data_centre);
+    peer_revisions_.AddListed(seed.name, seed.data_centre);
   }
 }
 
-void Daemon::Schedule() {
+void Daemon::StartTimers() {
   const auto platform = settings_.get().getPlatform();
   loop_.Every(milliseconds(platform.getPollMs()), [this] {
     PollHosts();
@@ -119,12 +122,12 @@
   });
   loop_.Every(kOrderPeriod, [this] { order_sync_.Tick(); });
   loop_.Every(kGossipPeriod, [this] {
-    peer_service_.NoteLeaving();
-    peers_->Gossip();
+    peer_service_.AnnounceLeaving();
+    peer_links_->Gossip();
     suspects_.Sweep(loop_.Now());
   });
   history_sync_.Start();
-  loop_.Every(kCachePeriod,
+  loop_.Every(kCachePollPeriod,
               [this] { cache_sync_.Poll(*follower_.catalogue()); });
 }
 
@@ -132,35 +135,35 @@
 
 // --- The pump: events in, actions out ---------------------------------------
 
-void Daemon::Touch() {
-  touched_ = true;
-  if (!pumping_) {
-    Pump();
+void Daemon::RequestAdvance() {
+  advance_requested_ = true;
+  if (!advancing_) {
+    AdvanceCoordinator();
   }
 }
 
-void Daemon::Pump() {
-  pumping_ = true;
-  while (std::exchange(touched_, false)) {
+void Daemon::AdvanceCoordinator() {
+  advancing_ = true;
+  while (std::exchange(advance_requested_, false)) {
     const TimePoint now = loop_.Now();
     coordinator_.Advance(now);
     coordinator_.ProcessClaims(now);
-    claim_sync_.Pump();
+    claim_sync_.SendOperations();
     for (Action& action : coordinator_.TakeActions()) {
-      touched_ = true;
+      advance_requested_ = true;
       Execute(action);
     }
   }
-  pumping_ = false;
-  Rearm();
+  advancing_ = false;
+  ScheduleWakeup();
 }
 
-void Daemon::Rearm() {
-  loop_.Cancel(wake_);
+void Daemon::ScheduleWakeup() {
+  loop_.Cancel(wakeup_timer_);
   const TimePoint due = coordinator_.NextDue();
   if (due != kNever) {
-    wake_ = loop_.At(std::max(due, loop_.Now() + kShortestWake),
-                     [this] { Touch(); });
+    wakeup_timer_ = loop_.At(std::max(due, loop_.Now() + kMinWakeupDelay),
+                             [this] { RequestAdvance(); });
   }
 }
 
@@ -185,13 +188,16 @@
     void operator()(const FinishRequest& finish) const {
       daemon.metrics_.Observe(finish);
       if (CountsForServiceLevel(finish.error)) {
-        daemon.levels_.Observe(WallPoint(daemon.loop_),
-                               daemon.metrics_.ServiceLabel(finish.service),
-                               !finish.error.has_value());
+        daemon.service_levels_.Observe(
+            WallTimePoint(daemon.loop_),
+            daemon.metrics_.ServiceLabel(finish.service),
+            !finish.error.has_value());
       }
       daemon.caller_api_.Finish(finish);
     }
-    void operator()(const QueryClaimHolder& ask) const { daemon.Ask(ask); }
+    void operator()(const QueryClaimHolder& query) const {
+      daemon.SendClaimQuery(query);
+    }
     void operator()(const AnswerJoin& answer) const {
       daemon.peer_service_.Answer(answer);
     }
@@ -199,26 +205,27 @@
   std::visit(Visitor{*this}, action);
 }
 
-void Daemon::Ask(const QueryClaimHolder& ask) {
-  constexpr Duration kAskTimeout = std::chrono::seconds(2);
-  const auto done = [this, id = ask.request,
-                     token = ask.claim.token](const JoinOutcome& outcome) {
+void Daemon::SendClaimQuery(const QueryClaimHolder& query) {
+  constexpr Duration kQueryTimeout = std::chrono::seconds(2);
+  const auto done = [this, id = query.request,
+                     token = query.claim.token](const JoinOutcome& outcome) {
     coordinator_.OnClaimHolderAnswered(loop_.Now(), id, token, outcome);
-    Touch();
+    RequestAdvance();
   };
-  if (ask.claim.daemon != settings_.get().getName().cStr()) {
-    peers_->AskOutcome(ask.claim.daemon, ask.claim, kAskTimeout, done);
+  if (query.claim.daemon != settings_.get().getName().cStr()) {
+    peer_links_->QueryOutcome(query.claim.daemon, query.claim, kQueryTimeout,
+                              done);
     return;
   }
   // A row of this daemon's own: a write that it had given up took effect late,
   // or an earlier process of this name made it, whose token nobody here knows.
-  peer_service_.OnJoin(ask.claim.token, done);
+  peer_service_.OnJoin(query.claim.token, done);
 }
 
 // --- Hosts and configuration ------------------------------------------------
 
 void Daemon::PollHosts() {
-  platform_.List([this](const HostListing& listing) {
+  platform_.List([this](const HostListResult& listing) {
     if (listing.changed) {
       ApplyHosts(listing.hosts);
     }
@@ -247,9 +254,9 @@
   for (const auto& gone : leaving_news_.OnHostList(loop_.Now(), backends)) {
     servers_.RemoveLeaving(gone.server, gone.incarnation);
   }
-  peer_service_.NoteLeaving();
+  peer_service_.AnnounceLeaving();
   coordinator_.OnServersChanged(loop_.Now());
-  Touch();
+  RequestAdvance();
 }
 
 void Daemon::ApplyEntryHosts(const std::vector<HostRecord>& entries) {
@@ -273,11 +280,11 @@
   }
   for (const PeerAddress& peer : peers) {
     if (peer.name != own_name) {
-      peer_revisions_.Know(peer.name, peer.data_centre);
+      peer_revisions_.AddListed(peer.name, peer.data_centre);
     }
   }
-  peer_revisions_.ForgetOthers();
-  peers_->SetPeers(std::move(peers));
+  peer_revisions_.RemoveUnlisted();
+  peer_links_->SetPeers(std::move(peers));
   poll_schedule_.SetPeers(neighbours);
   order_sync_.SetDaemons(std::move(daemons));
 }
@@ -287,16 +294,17 @@
   order_sync_.SetCatalogue(*follower_.catalogue());
   metrics_.SetCatalogue(follower_.catalogue());
   LogEvent("configuration").Field("revision", follower_.revision());
-  peers_->Rumour();
+  peer_links_->SpreadRumour();
 }
 
-void Daemon::Apply(ConfigRevision change, const ConfigSync::Done& done) {
+void Daemon::Apply(ConfigRevision change,
+                   const ConfigSync::DoneCallback& done) {
   config_sync_.Apply(std::move(change), done);
 }
 
 // --- Operators --------------------------------------------------------------
 
-bool Daemon::Ready() const {
+bool Daemon::IsReady() const {
   return follower_.known() && peer_service_.knows_hosts() && !draining_;
 }
 
@@ -307,13 +315,13 @@
       {"data_centre", settings_.get().getDataCentre().cStr()},
       {"region", settings_.get().getRegion().cStr()},
       {"incarnation", incarnation_},
-      {"ready", Ready()},
+      {"ready", IsReady()},
       {"draining", draining_},
       {"revision", follower_.revision()},
       {"highest_heard", follower_.highest_seen()},
       {"active", coordinator_.active()},
       {"queued", coordinator_.queued()},
-      {"peers", peers_->peer_count()},
+      {"peers", peer_links_->peer_count()},
       {"peer_revisions", peer_revisions_.ToJson(loop_.Now())},
       {"submitted", counters.submitted},
       {"answered", counters.answered},
@@ -321,11 +329,11 @@
       {"retries", counters.retries},
       {"late_answers", counters.late_answers},
       {"crossed_answers", counters.crossed_answers},
-      {"heaviest", HeaviestReport(usage_.Heaviest(loop_.Now(), kHeavyRecords))},
+      {"heaviest", HeaviestReport(usage_.Heaviest(loop_.Now(), kMaxHeaviest))},
       {"servers", ServersReport(servers_, loop_.Now())}};
 }
 
-json Daemon::DocumentsInForce() const {
+json Daemon::ListDocuments() const {
   return DocumentsReport(follower_);
 }
 
@@ -342,10 +350,10 @@
           {"counting_since_unix_micros", incarnation_},
           {"at_unix_micros", loop_.WallTime()},
           {"attainment_target", settings_.get().getSlo().getAttainmentTarget()},
-          {"services", ServicesReport(levels_, WallPoint(loop_))},
+          {"services", ServicesReport(service_levels_, WallTimePoint(loop_))},
           {"stages", StagesReport(metrics_)},
-          {"heaviest", HeaviestReport(usage_.Heaviest(now, kHeavyRecords))},
-          {"out_of_favour", OutOfFavourReport(servers_, now)}};
+          {"heaviest", HeaviestReport(usage_.Heaviest(now, kMaxHeaviest))},
+          {"out_of_favour", UnavailableServersReport(servers_, now)}};
 }
 
 std::string Daemon::Metrics() const {
@@ -358,14 +366,14 @@
 // --- Stop -------------------------------------------------------------------
 
 void Daemon::StartDrain() {
-  Drain(stop_);
+  Drain(stop_callback_);
 }
 
 void Daemon::BeginDrain() {
   if (std::exchange(draining_, true)) {
     return;
   }
-  peer_service_.BeginDrain();
+  peer_service_.StartDrain();
   history_sync_.Save();
   order_sync_.StartDrain();
   LogEvent("drain_begun").Field("active", coordinator_.active());
@@ -374,25 +382,25 @@
   const auto notice =
       milliseconds(settings_.get().getLimits().getDrainNoticeMs());
   loop_.After(notice, [this] {
-    callers_->StopAccepting();
-    callers_->BeginShutdown();
-    constexpr Duration kCheckPeriod = milliseconds(20);
-    loop_.Every(kCheckPeriod, [this] { CheckDrained(); });
+    caller_server_->StopAccepting();
+    caller_server_->BeginShutdown();
+    constexpr Duration kDrainCheckPeriod = milliseconds(20);
+    loop_.Every(kDrainCheckPeriod, [this] { CheckDrained(); });
   });
 }
 
 void Daemon::Drain(std::function<void()> done) {
   BeginDrain();
-  if (drained_) {
+  if (on_drained_) {
     return;  // a second signal cuts off nothing
   }
-  drained_ = std::move(done);
+  on_drained_ = std::move(done);
   const auto limits = settings_.get().getLimits();
   loop_.After(milliseconds(limits.getDrainDeadlineMs()), [this] {
     LogEvent("drain_deadline", LogLevel::kWarning)
         .Field("cut_off", coordinator_.active())
         .Field("unsettled_claims", claims_.pending())
-        .Field("connections", callers_->connections());
+        .Field("connections", caller_server_->connections());
     EndDrain();
   });
 }
@@ -403,17 +411,18 @@
   // ran. Each answer closes its connection and idle ones time out, so waiting
   // for the last connection leaves no such request, and ends.
   const bool idle = coordinator_.active() == 0 && caller_api_.active() == 0 &&
-                    claims_.pending() == 0 && order_sync_.held() == 0 &&
-                    callers_->connections() == 0;
-  if (idle && drained_) {
+                    claims_.pending() == 0 &&
+                    order_sync_.held_lease_count() == 0 &&
+                    caller_server_->connections() == 0;
+  if (idle && on_drained_) {
     LogEvent("drained");
     EndDrain();
   }
 }
 
 void Daemon::EndDrain() {
-  if (drained_) {
-    std::exchange(drained_, nullptr)();
+  if (on_drained_) {
+    std::exchange(on_drained_, nullptr)();
   }
 }
 
--- a/packages/entry/src/daemon_options.cc
+++ b/packages/entry/src/daemon_options.cc
@@ -8,7 +8,7 @@
 
 using std::chrono::milliseconds;
 
-std::map<std::string, PathCost> PathsOf(schema::Settings::Reader settings) {
+std::map<std::string, PathCost> PathCosts(schema::Settings::Reader settings) {
   constexpr double kBytesPerMegabyte = 1e6;
   std::map<std::string, PathCost> paths;
   for (const auto link : settings.getLinks()) {
@@ -19,7 +19,7 @@
   return paths;
 }
 
-std::vector<PeerAddress> SeedsOf(schema::Settings::Reader settings) {
+std::vector<PeerAddress> SeedPeers(schema::Settings::Reader settings) {
   std::vector<PeerAddress> seeds;
   for (const auto seed : settings.getSeeds()) {
     seeds.push_back({seed.getName().cStr(), seed.getDataCentre().cStr(),
--- a/packages/entry/src/operator_api.cc
+++ b/packages/entry/src/operator_api.cc
@@ -29,8 +29,8 @@
 }
 
 /// Reads an operator's change; `error` says what is wrong with it.
-std::optional<ConfigRevision> ChangeOf(const HttpRequest& request,
-                                       std::string& error) {
+std::optional<ConfigRevision> ParseChange(const HttpRequest& request,
+                                          std::string& error) {
   ConfigRevision change;
   try {
     const json body = json::parse(request.body);
@@ -60,7 +60,7 @@
 
 /// What an operator needs to merge by hand: what stands there, and the own
 /// text.
-std::string BothSides(const ConfigApply& apply) {
+std::string DescribeConflict(const ConfigApply& apply) {
   const auto text = [](const std::string& body) {
     return body.empty() ? std::string("deleted") : body;
   };
@@ -87,11 +87,11 @@
 /// Why a change can't be put in force; empty if it can. A body that no daemon
 /// can read would stand in the log for good, and its service would be gone
 /// without a word.
-std::string InvalidityOf(const ConfigRevision& change,
-                         const Documents& present) {
+std::string FindProblem(const ConfigRevision& change,
+                        const Documents& current) {
   return leaf::try_handle_all(
       [&]() -> leaf::result<std::string> {
-        BOOST_LEAF_CHECK(CheckChange(change, present));
+        BOOST_LEAF_CHECK(CheckChange(change, current));
         return std::string();
       },
       [](const SchemaError& error) { return error.Text(); },
@@ -100,13 +100,13 @@
 
 }  // namespace
 
-struct OperatorApi::RouteRow {
+struct OperatorApi::RouteEntry {
   std::string_view method;
   std::string_view path;
   Route route;
 };
 
-const OperatorApi::RouteRow OperatorApi::kRoutes[] = {
+const OperatorApi::RouteEntry OperatorApi::kRoutes[] = {
     {"GET", "/healthz", &OperatorApi::Health},
     {"GET", "/readyz", &OperatorApi::Readiness},
     {"GET", "/metrics", &OperatorApi::Metrics},
@@ -121,7 +121,7 @@
 void OperatorApi::OnRequest(const HttpRequest& request,
                             const std::shared_ptr<HttpResponder>& responder) {
   bool path_known = false;
-  for (const RouteRow& row : kRoutes) {
+  for (const RouteEntry& row : kRoutes) {
     if (row.path != request.path) {
       continue;
     }
@@ -144,7 +144,7 @@
 
 void OperatorApi::Readiness(const HttpRequest& /*request*/,
                             const std::shared_ptr<HttpResponder>& responder) {
-  const bool ready = handler_.Ready();
+  const bool ready = handler_.IsReady();
   SendText(*responder, ready ? 200 : kUnavailable,
            ready ? "ready\n" : "not ready\n");
 }
@@ -161,7 +161,7 @@
 
 void OperatorApi::Documents(const HttpRequest& /*request*/,
                             const std::shared_ptr<HttpResponder>& responder) {
-  SendJson(*responder, 200, handler_.DocumentsInForce());
+  SendJson(*responder, 200, handler_.ListDocuments());
 }
 
 void OperatorApi::History(const HttpRequest& /*request*/,
@@ -177,12 +177,12 @@
 void OperatorApi::Apply(const HttpRequest& request,
                         const std::shared_ptr<HttpResponder>& responder) {
   std::string error;
-  std::optional<ConfigRevision> change = ChangeOf(request, error);
+  std::optional<ConfigRevision> change = ParseChange(request, error);
   if (!change.has_value()) {
     responder->Send(ProblemResponse(ErrorKind::kMalformedRequest, error, "-"));
     return;
   }
-  error = InvalidityOf(*change, handler_.PresentDocuments());
+  error = FindProblem(*change, handler_.CurrentDocuments());
   if (!error.empty()) {
     responder->Send(ProblemResponse(ErrorKind::kInvalidSettings, error, "-"));
     return;
@@ -197,7 +197,7 @@
         return;
       case ConfigApply::State::kConflict:
         responder->Send(ProblemResponse(ErrorKind::kRevisionConflict,
-                                        BothSides(apply), id));
+                                        DescribeConflict(apply), id));
         return;
       case ConfigApply::State::kInvalid:
         responder->Send(
--- a/packages/entry/src/order_sync.cc
+++ b/packages/entry/src/order_sync.cc
@@ -14,7 +14,7 @@
 
 constexpr int kOk = 200;
 constexpr int kConflict = 409;
-constexpr Duration kLongestOrder = std::chrono::seconds(2);
+constexpr Duration kMaxOrderDelay = std::chrono::seconds(2);
 
 json ToJson(const EngineState& state) {
   return {{"model", state.model},
@@ -23,7 +23,7 @@
           {"role", state.role}};
 }
 
-std::optional<EngineState> StateOf(const HttpResult& result) {
+std::optional<EngineState> ParseState(const HttpResult& result) {
   if (!result.complete || result.status != kOk) {
     return std::nullopt;
   }
@@ -41,7 +41,7 @@
   LeaseKeeper::Options lease;
   lease.pool = pool.name;
   lease.holder = options.daemon + "/" + std::to_string(options.incarnation);
-  lease.max_order_delay = pool.fenced ? Duration{0} : kLongestOrder;
+  lease.max_order_delay = pool.fenced ? Duration{0} : kMaxOrderDelay;
   return lease;
 }
 
@@ -54,7 +54,7 @@
       : name(spec.name),
         fenced(spec.fenced),
         lease(LeaseOptions(options, spec), codec),
-        orders({.max_order_delay = kLongestOrder}) {}
+        orders({.max_order_delay = kMaxOrderDelay}) {}
 
   std::string name;
   bool fenced;
@@ -128,7 +128,7 @@
     const bool changed = pool != nullptr && pool->fenced != spec.fenced;
     if (pool == nullptr || (changed && !pool->lease.held())) {
       pool = std::make_shared<Pool>(options_, spec, codec_);
-      GiveHosts(*pool);
+      UpdateEngines(*pool);
     }
     pool->declared = true;
     pool->orders.SetGroups(spec.engines);
@@ -138,11 +138,11 @@
 void OrderSync::SetHosts(std::span<const HostRecord> backends) {
   hosts_.assign(backends.begin(), backends.end());
   for (const auto& [name, pool] : pools_) {
-    GiveHosts(*pool);
+    UpdateEngines(*pool);
   }
 }
 
-void OrderSync::GiveHosts(Pool& pool) {
+void OrderSync::UpdateEngines(Pool& pool) {
   pool.engines.clear();
   std::vector<std::string> names;
   for (const HostRecord& host : hosts_) {
@@ -158,16 +158,16 @@
   daemons_ = std::move(names);
 }
 
-std::size_t OrderSync::held() const {
+std::size_t OrderSync::held_lease_count() const {
   return static_cast<std::size_t>(std::ranges::count_if(
       pools_, [](const auto& item) { return item.second->lease.held(); }));
 }
 
 void OrderSync::Tick() {
   for (const auto& [name, pool] : pools_) {
-    TickLease(pool);
+    AdvanceLease(pool);
     if (!draining_ && pool->declared) {
-      TickOrders(pool);
+      AdvanceOrders(pool);
     }
   }
   std::erase_if(pools_, [](const auto& item) {
@@ -175,16 +175,17 @@
   });
 }
 
-void OrderSync::TickLease(const std::shared_ptr<Pool>& pool) {
+void OrderSync::AdvanceLease(const std::shared_ptr<Pool>& pool) {
   const TimePoint now = loop_.Now();
-  const bool candidate = RendezvousRank(pool->name, options_.daemon, daemons_) <
-                         options_.candidates;
-  const bool holds_on =
-      pool->lease.held() && (candidate || pool->orders.HasOrderInFlight(now));
-  const bool takes = candidate && !draining_ && pool->declared;
-  const bool ends =
+  const bool is_candidate = RendezvousRank(pool->name, options_.daemon,
+                                           daemons_) < options_.max_candidates;
+  const bool should_keep = pool->lease.held() &&
+                           (is_candidate || pool->orders.HasOrderInFlight(now));
+  const bool should_acquire = is_candidate && !draining_ && pool->declared;
+  const bool should_release =
       (draining_ || !pool->declared) && !pool->orders.HasOrderInFlight(now);
-  switch (pool->lease.Advance(now, takes || (holds_on && !ends))) {
+  switch (pool->lease.Advance(
+      now, should_acquire || (should_keep && !should_release))) {
     case LeaseKeeper::Step::kNone:
       return;
     case LeaseKeeper::Step::kRead:
@@ -201,23 +202,23 @@
   }
 }
 
-void OrderSync::TickOrders(const std::shared_ptr<Pool>& pool) {
+void OrderSync::AdvanceOrders(const std::shared_ptr<Pool>& pool) {
   const OrderIssuer::Steps steps =
       pool->orders.Advance(loop_.Now(), pool->lease);
   for (const std::string& engine : steps.reads) {
-    Read(pool, engine);
+    ReadState(pool, engine);
   }
   for (const EngineOrder& order : steps.orders) {
-    Send(pool, order);
+    SendOrder(pool, order);
   }
 }
 
-void OrderSync::Limit(const std::shared_ptr<HttpCallId>& call) {
-  loop_.After(kLongestOrder, [this, call] { client_.Cancel(*call); });
+void OrderSync::CancelAfterTimeout(const std::shared_ptr<HttpCallId>& call) {
+  loop_.After(kMaxOrderDelay, [this, call] { client_.Cancel(*call); });
 }
 
-void OrderSync::Read(const std::shared_ptr<Pool>& pool,
-                     const std::string& engine) {
+void OrderSync::ReadState(const std::shared_ptr<Pool>& pool,
+                          const std::string& engine) {
   const HostRecord& host = pool->engines.at(engine);
   HttpCall call;
   call.address = host.address;
@@ -226,13 +227,13 @@
   auto id = std::make_shared<HttpCallId>();
   *id = client_.Call(std::move(call),
                      CollectResponse([pool, engine](const HttpResult& result) {
-                       pool->orders.OnState(engine, StateOf(result));
+                       pool->orders.OnState(engine, ParseState(result));
                      }));
-  Limit(id);
+  CancelAfterTimeout(id);
 }
 
-void OrderSync::Send(const std::shared_ptr<Pool>& pool,
-                     const EngineOrder& order) {
+void OrderSync::SendOrder(const std::shared_ptr<Pool>& pool,
+                          const EngineOrder& order) {
   const HostRecord& host = pool->engines.at(order.engine);
   LogEvent("engine_order")
       .Field("pool", pool->name)
@@ -253,7 +254,7 @@
   auto id = std::make_shared<HttpCallId>();
   *id = client_.Call(std::move(call),
                      std::make_unique<OrderCall>(*this, pool, order, id));
-  Limit(id);
+  CancelAfterTimeout(id);
 }
 
 }  // namespace gentianroute
--- a/packages/entry/src/peer_links.cc
+++ b/packages/entry/src/peer_links.cc
@@ -12,9 +12,9 @@
 namespace {
 
 constexpr std::uint32_t kRevisionsPerCall = 256;  // all that is kept
-constexpr Duration kConnectCheck = std::chrono::milliseconds(20);
-constexpr std::uint32_t kConnectChecks = 20;
-constexpr std::uint64_t kIdleRounds = 16;
+constexpr Duration kConnectPollInterval = std::chrono::milliseconds(20);
+constexpr std::uint32_t kMaxConnectPolls = 20;
+constexpr std::uint64_t kMaxIdleRounds = 16;
 
 void WriteOutcome(const JoinOutcome& outcome,
                   schema::Outcome::Builder builder) {
@@ -136,7 +136,7 @@
   PeerAddress address;
   RpcConnection connection;
   bool exchanging = false;
-  std::uint64_t used_in_round = 0;
+  std::uint64_t last_used_round = 0;
 };
 
 struct PeerLinks::Tasks final : private kj::TaskSet::ErrorHandler {
@@ -170,25 +170,26 @@
   peers_ = std::move(peers);
 }
 
-const PeerAddress* PeerLinks::Find(std::string_view name) const {
+const PeerAddress* PeerLinks::FindPeer(std::string_view name) const {
   const auto found = std::ranges::find(peers_, name, &PeerAddress::name);
   return found == peers_.end() ? nullptr : &*found;
 }
 
-PeerLinks::Link* PeerLinks::LinkTo(const PeerAddress& peer) {
+PeerLinks::Link* PeerLinks::GetOrCreateLink(const PeerAddress& peer) {
   std::unique_ptr<Link>& link = links_[peer.name];
-  const bool moved = link != nullptr && (link->address.port != peer.port ||
-                                         link->address.address != peer.address);
-  if (link == nullptr || moved) {
+  const bool address_changed =
+      link != nullptr && (link->address.port != peer.port ||
+                          link->address.address != peer.address);
+  if (link == nullptr || address_changed) {
     link = std::make_unique<Link>(loop_, peer,
                                   [this, name = peer.name] { DropLink(name); });
   }
-  link->used_in_round = round_;
+  link->last_used_round = round_;
   return link.get();
 }
 
 void PeerLinks::WhenConnected(const std::string& peer,
-                              std::uint32_t checks,
+                              std::uint32_t polls_left,
                               const std::function<void(Link&)>& done) {
   const auto found = links_.find(peer);
   if (found == links_.end()) {
@@ -198,21 +199,21 @@
     done(*found->second);
     return;
   }
-  if (checks == 0) {
+  if (polls_left == 0) {
     DropLink(peer);
     return;
   }
-  loop_.After(kConnectCheck, [this, peer, checks, done] {
-    WhenConnected(peer, checks - 1, done);
+  loop_.After(kConnectPollInterval, [this, peer, polls_left, done] {
+    WhenConnected(peer, polls_left - 1, done);
   });
 }
 
-void PeerLinks::DropIdle() {
+void PeerLinks::DropIdleLinks() {
   // Each round meets other peers: in the end there would be a link to each of
   // them, and the connections of all daemons would grow with their square.
   std::vector<std::string> idle;
   for (const auto& [name, link] : links_) {
-    if (link->used_in_round + kIdleRounds < round_) {
+    if (link->last_used_round + kMaxIdleRounds < round_) {
       idle.push_back(name);
     }
   }
@@ -227,14 +228,14 @@
   if (found == links_.end()) {
     return;
   }
-  std::shared_ptr<Link> doomed = std::move(found->second);
+  std::shared_ptr<Link> removed = std::move(found->second);
   links_.erase(found);
-  loop_.After(Duration{0}, [doomed] {});
+  loop_.After(Duration{0}, [removed] {});
 }
 
-kj::Promise<void> PeerLinks::Guard(kj::Promise<void> call,
-                                   const std::string& peer,
-                                   Duration timeout) {
+kj::Promise<void> PeerLinks::AddTimeout(kj::Promise<void> call,
+                                        const std::string& peer,
+                                        Duration timeout) {
   auto late = kj::newPromiseAndFulfiller<void>();
   auto fulfiller = std::make_shared<kj::Own<kj::PromiseFulfiller<void>>>(
       kj::mv(late.fulfiller));
@@ -253,38 +254,38 @@
 
 void PeerLinks::Gossip() {
   ++round_;
-  rumours_left_ = options_.rumours;
-  DropIdle();
-  Round(options_.fanout);
+  rumour_rounds_left_ = options_.rumour_rounds;
+  DropIdleLinks();
+  StartRound(options_.fanout);
 }
 
-void PeerLinks::Rumour() {
-  if (rumours_left_ > 0) {
-    --rumours_left_;
-    Round(options_.rumour_fanout);
+void PeerLinks::SpreadRumour() {
+  if (rumour_rounds_left_ > 0) {
+    --rumour_rounds_left_;
+    StartRound(options_.rumour_fanout);
   }
 }
 
-void PeerLinks::Round(std::size_t fanout) {
+void PeerLinks::StartRound(std::size_t fanout) {
   std::vector<PeerAddress> chosen;
   std::ranges::sample(peers_, std::back_inserter(chosen),
                       static_cast<std::ptrdiff_t>(fanout), rng_);
   for (const PeerAddress& peer : chosen) {
-    Exchange(peer);
+    StartExchange(peer);
   }
 }
 
-void PeerLinks::Exchange(const PeerAddress& peer) {
-  Link* link = LinkTo(peer);
+void PeerLinks::StartExchange(const PeerAddress& peer) {
+  Link* link = GetOrCreateLink(peer);
   if (link->exchanging) {
     return;
   }
   link->exchanging = true;
-  WhenConnected(peer.name, kConnectChecks,
-                [this](Link& ready) { ExchangeNow(ready); });
+  WhenConnected(peer.name, kMaxConnectPolls,
+                [this](Link& ready) { SendDigest(ready); });
 }
 
-void PeerLinks::ExchangeNow(Link& link) {
+void PeerLinks::SendDigest(Link& link) {
   auto request =
       link.connection.bootstrap().castAs<schema::Peer>().exchangeRequest();
   handler_.FillDigest(request.initMine());
@@ -297,20 +298,20 @@
         }
         handler_.OnDigest(response.getYours());
       });
-  tasks_->set.add(Guard(kj::mv(call), peer, options_.call_timeout));
+  tasks_->set.add(AddTimeout(kj::mv(call), peer, options_.call_timeout));
 }
 
 void PeerLinks::FetchRevisions(const std::string& peer, std::uint64_t after) {
-  const PeerAddress* address = Find(peer);
+  const PeerAddress* address = FindPeer(peer);
   if (address == nullptr) {
     return;
   }
-  LinkTo(*address);
-  WhenConnected(peer, kConnectChecks,
-                [this, after](Link& ready) { FetchNow(ready, after); });
+  GetOrCreateLink(*address);
+  WhenConnected(peer, kMaxConnectPolls,
+                [this, after](Link& ready) { RequestRevisions(ready, after); });
 }
 
-void PeerLinks::FetchNow(Link& link, std::uint64_t after) {
+void PeerLinks::RequestRevisions(Link& link, std::uint64_t after) {
   auto request =
       link.connection.bootstrap().castAs<schema::Peer>().revisionsRequest();
   request.setAfter(after);
@@ -324,15 +325,15 @@
         }
         const auto found = links_.find(peer);
         if (revisions.empty() && found != links_.end()) {
-          FetchSnapshot(*found->second);
+          RequestSnapshot(*found->second);
           return;
         }
         handler_.OnRevisions(revisions);
       });
-  tasks_->set.add(Guard(kj::mv(call), peer, options_.call_timeout));
+  tasks_->set.add(AddTimeout(kj::mv(call), peer, options_.call_timeout));
 }
 
-void PeerLinks::FetchSnapshot(Link& link) {
+void PeerLinks::RequestSnapshot(Link& link) {
   auto request =
       link.connection.bootstrap().castAs<schema::Peer>().snapshotRequest();
   auto call = request.send().then(
@@ -340,20 +341,20 @@
         handler_.OnSnapshot(ReadSnapshot(response.getSnapshot()));
       });
   tasks_->set.add(
-      Guard(kj::mv(call), link.address.name, options_.call_timeout));
+      AddTimeout(kj::mv(call), link.address.name, options_.call_timeout));
 }
 
 void PeerLinks::FetchHosts(const std::string& peer) {
-  const PeerAddress* address = Find(peer);
+  const PeerAddress* address = FindPeer(peer);
   if (address == nullptr) {
     return;
   }
-  LinkTo(*address);
-  WhenConnected(peer, kConnectChecks,
-                [this](Link& ready) { FetchHostsNow(ready); });
+  GetOrCreateLink(*address);
+  WhenConnected(peer, kMaxConnectPolls,
+                [this](Link& ready) { RequestHosts(ready); });
 }
 
-void PeerLinks::FetchHostsNow(Link& link) {
+void PeerLinks::RequestHosts(Link& link) {
   auto request =
       link.connection.bootstrap().castAs<schema::Peer>().hostsRequest();
   auto call = request.send().then(
@@ -365,28 +366,28 @@
         handler_.OnHosts(hosts);
       });
   tasks_->set.add(
-      Guard(kj::mv(call), link.address.name, options_.call_timeout));
+      AddTimeout(kj::mv(call), link.address.name, options_.call_timeout));
 }
 
-void PeerLinks::AskOutcome(std::string_view daemon,
-                           const Claim& claim,
-                           Duration timeout,
-                           std::function<void(JoinOutcome)> done) {
-  const PeerAddress* peer = Find(daemon);
+void PeerLinks::QueryOutcome(std::string_view daemon,
+                             const Claim& claim,
+                             Duration timeout,
+                             std::function<void(JoinOutcome)> done) {
+  const PeerAddress* peer = FindPeer(daemon);
   if (peer == nullptr) {
     done({});
     return;
   }
-  Link* link = LinkTo(*peer);
+  Link* link = GetOrCreateLink(*peer);
   if (!link->connection.connected()) {
     // Give the connection one short moment to come up, then ask or give up.
-    constexpr Duration kConnectTime = std::chrono::milliseconds(200);
-    if (timeout <= kConnectTime) {
+    constexpr Duration kConnectWait = std::chrono::milliseconds(200);
+    if (timeout <= kConnectWait) {
       done({});
       return;
     }
-    loop_.After(kConnectTime, [this, name = std::string(daemon), claim, timeout,
-                               done = std::move(done), kConnectTime] {
+    loop_.After(kConnectWait, [this, name = std::string(daemon), claim, timeout,
+                               done = std::move(done), kConnectWait] {
       const auto found = links_.find(name);
       const bool ready =
           found != links_.end() && found->second->connection.connected();
@@ -394,7 +395,7 @@
         done({});
         return;
       }
-      AskOutcome(name, claim, timeout - kConnectTime, done);
+      QueryOutcome(name, claim, timeout - kConnectWait, done);
     });
     return;
   }
@@ -409,7 +410,7 @@
       [answered](capnp::Response<schema::Peer::JoinResults>&& response) {
         (*answered)(ReadOutcome(response.getOutcome()));
       });
-  tasks_->set.add(Guard(kj::mv(call), peer->name, timeout)
+  tasks_->set.add(AddTimeout(kj::mv(call), peer->name, timeout)
                       .catch_([answered](kj::Exception&& /*exception*/) {
                         (*answered)({});
                       }));
--- a/packages/entry/src/peer_revisions.cc
+++ b/packages/entry/src/peer_revisions.cc
@@ -7,22 +7,23 @@
 
 using nlohmann::json;
 
-void PeerRevisions::Know(std::string_view peer, std::string_view data_centre) {
+void PeerRevisions::AddListed(std::string_view peer,
+                              std::string_view data_centre) {
   Peer& known = peers_[std::string(peer)];
   known.data_centre = data_centre;
   known.listed = true;
 }
 
-void PeerRevisions::ForgetOthers() {
+void PeerRevisions::RemoveUnlisted() {
   std::erase_if(peers_, [](const auto& entry) { return !entry.second.listed; });
   for (auto& [name, peer] : peers_) {
     peer.listed = false;
   }
 }
 
-void PeerRevisions::Heard(TimePoint now,
-                          std::string_view peer,
-                          std::uint64_t revision) {
+void PeerRevisions::OnRevision(TimePoint now,
+                               std::string_view peer,
+                               std::uint64_t revision) {
   const auto found = peers_.find(peer);
   if (found == peers_.end()) {
     return;
@@ -44,7 +45,7 @@
                     {"data_centre", peer.data_centre},
                     {"revision", peer.revision},
                     {"heard_ms_ago", std::move(heard)},
-                    {"reachable", now - last <= kReach}});
+                    {"reachable", now - last <= kSilenceTimeout}});
   }
   return list;
 }
--- a/packages/entry/src/report.cc
+++ b/packages/entry/src/report.cc
@@ -13,7 +13,7 @@
 }
 
 /// Why a server gets no work; empty if it does.
-std::string WhyNot(const Server& server, TimePoint now) {
+std::string UnavailabilityReason(const Server& server, TimePoint now) {
   if (server.leaving) {
     return "leaving";
   }
@@ -65,15 +65,15 @@
   return stages;
 }
 
-json OutOfFavourReport(const ServerTable& servers, TimePoint now) {
+json UnavailableServersReport(const ServerTable& servers, TimePoint now) {
   json list = json::array();
   for (const auto& [name, server] : servers.servers()) {
-    const std::string why = WhyNot(*server, now);
-    if (!why.empty()) {
+    const std::string reason = UnavailabilityReason(*server, now);
+    if (!reason.empty()) {
       list.push_back({{"server", name},
                       {"pool", server->host.pool},
                       {"data_centre", server->host.data_centre},
-                      {"why", why}});
+                      {"why", reason}});
     }
   }
   return list;
--- a/packages/platform/include/gentianroute/platform/http_platform.h
+++ b/packages/platform/include/gentianroute/platform/http_platform.h
@@ -33,16 +33,16 @@
   void Put(std::string name,
            std::string content,
            std::function<void(bool)> done) override;
-  void List(std::function<void(HostListing)> done) override;
+  void List(std::function<void(HostListResult)> done) override;
 
  private:
   void Call(HttpCall call, std::function<void(HttpResult)> done);
-  HostListing ListingOf(const HttpResult& result);
+  HostListResult ParseHostList(const HttpResult& result);
 
   EventLoop& loop_;
   HttpClient& client_;
   Options options_;
-  std::string host_list_tag_;  ///< ETag of the last list
+  std::string host_list_etag_;  ///< ETag of the last list
 };
 
 }  // namespace gentianroute
--- a/packages/platform/include/gentianroute/platform/platform.h
+++ b/packages/platform/include/gentianroute/platform/platform.h
@@ -42,7 +42,7 @@
 };
 
 /// @brief What the list of hosts said.
-struct HostListing {
+struct HostListResult {
   bool answered = false;
   /// False: the same as the last one that was answered; `hosts` is empty.
   bool changed = false;
@@ -53,7 +53,7 @@
 class HostDirectory {
  public:
   virtual ~HostDirectory() = default;
-  virtual void List(std::function<void(HostListing)> done) = 0;
+  virtual void List(std::function<void(HostListResult)> done) = 0;
 };
 
 }  // namespace gentianroute
--- a/packages/platform/src/http_platform.cc
+++ b/packages/platform/src/http_platform.cc
@@ -37,24 +37,24 @@
   return {{"conditions", std::move(conditions)}, {"writes", std::move(writes)}};
 }
 
-TableRow RowOf(const json& item) {
+TableRow ParseRow(const json& item) {
   return {{item.at("table"), item.at("key")},
           item.at("value").is_null() ? std::string()
                                      : item.at("value").get<std::string>(),
           item.at("version")};
 }
 
-std::vector<TableRow> RowsOf(const json& items) {
+std::vector<TableRow> ParseRows(const json& items) {
   std::vector<TableRow> rows;
   for (const json& item : items) {
-    rows.push_back(RowOf(item));
+    rows.push_back(ParseRow(item));
   }
   return rows;
 }
 
 /// Whether the service took the call at all; only then may a lost answer hide
 /// a write.
-TableStatus StatusOf(const HttpResult& result) {
+TableStatus ToTableStatus(const HttpResult& result) {
   if (!result.complete) {
     return result.error == HttpCallError::kConnect ? TableStatus::kRefused
                                                    : TableStatus::kUnknown;
@@ -72,9 +72,9 @@
   }
 }
 
-TransactResult TransactResultOf(const HttpResult& result) {
+TransactResult ParseTransactResult(const HttpResult& result) {
   TransactResult parsed;
-  parsed.status = StatusOf(result);
+  parsed.status = ToTableStatus(result);
   try {
     if (parsed.status == TableStatus::kCommitted) {
       parsed.versions = json::parse(result.body)
@@ -82,7 +82,7 @@
                             .get<std::vector<std::uint64_t>>();
     }
     if (parsed.status == TableStatus::kConditionFailed) {
-      parsed.conflicts = RowsOf(json::parse(result.body).at("conflicts"));
+      parsed.conflicts = ParseRows(json::parse(result.body).at("conflicts"));
     }
   } catch (const json::exception&) {
     return {};  // an answer that can't be read says nothing about the write
@@ -90,18 +90,18 @@
   return parsed;
 }
 
-ReadResult ReadResultOf(const HttpResult& result) {
+ReadResult ParseReadResult(const HttpResult& result) {
   if (!result.complete || result.status != kOk) {
     return {};
   }
   try {
-    return {true, RowsOf(json::parse(result.body).at("rows"))};
+    return {true, ParseRows(json::parse(result.body).at("rows"))};
   } catch (const json::exception&) {
     return {};
   }
 }
 
-HostRecord HostOf(const json& item) {
+HostRecord ParseHost(const json& item) {
   HostRecord host;
   host.name = item.at("name");
   host.address = item.at("address");
@@ -164,7 +164,7 @@
                             std::function<void(TransactResult)> done) {
   Call(MakeCall("POST", "/v1/transact", ToJson(transaction).dump()),
        [done = std::move(done)](const HttpResult& result) {
-         done(TransactResultOf(result));
+         done(ParseTransactResult(result));
        });
 }
 
@@ -176,7 +176,7 @@
   }
   Call(MakeCall("POST", "/v1/read", json{{"keys", std::move(items)}}.dump()),
        [done = std::move(done)](const HttpResult& result) {
-         done(ReadResultOf(result));
+         done(ParseReadResult(result));
        });
 }
 
@@ -204,19 +204,19 @@
        });
 }
 
-void HttpPlatform::List(std::function<void(HostListing)> done) {
+void HttpPlatform::List(std::function<void(HostListResult)> done) {
   HttpCall call = MakeCall("GET", "/v1/hosts");
-  if (!host_list_tag_.empty()) {
-    call.headers.push_back({"if-none-match", host_list_tag_});
+  if (!host_list_etag_.empty()) {
+    call.headers.push_back({"if-none-match", host_list_etag_});
   }
   Call(std::move(call),
        [this, done = std::move(done)](const HttpResult& result) {
-         done(ListingOf(result));
+         done(ParseHostList(result));
        });
 }
 
-HostListing HttpPlatform::ListingOf(const HttpResult& result) {
-  HostListing listing;
+HostListResult HttpPlatform::ParseHostList(const HttpResult& result) {
+  HostListResult listing;
   if (!result.complete) {
     return listing;
   }
@@ -230,14 +230,14 @@
   try {
     const json parsed = json::parse(result.body);
     for (const json& item : parsed.at("hosts")) {
-      listing.hosts.push_back(HostOf(item));
+      listing.hosts.push_back(ParseHost(item));
     }
   } catch (const json::exception&) {
     return {};
   }
   listing.answered = true;
   listing.changed = true;
-  host_list_tag_ = FindHeader(result.headers, "etag");
+  host_list_etag_ = FindHeader(result.headers, "etag");
   return listing;
 }
 
--- a/packages/platform/tests/http_platform_test.cc
+++ b/packages/platform/tests/http_platform_test.cc
@@ -9,7 +9,7 @@
 
 using gentianroute::EventLoop;
 using gentianroute::FindHeader;
-using gentianroute::HostListing;
+using gentianroute::HostListResult;
 using gentianroute::HttpCall;
 using gentianroute::HttpCallError;
 using gentianroute::HttpCallId;
@@ -60,9 +60,10 @@
         {}, [&](const TransactResult& result) { status = result.status; });
     return status;
   }
-  HostListing List() {
-    HostListing listed;
-    platform_.List([&](HostListing listing) { listed = std::move(listing); });
+  HostListResult List() {
+    HostListResult listed;
+    platform_.List(
+        [&](HostListResult listing) { listed = std::move(listing); });
     return listed;
   }
 };
@@ -123,7 +124,7 @@
   cr_assert(fixture.List().changed);
   fixture.client_.status_ = 304;
   fixture.client_.body_ = "";
-  const HostListing again = fixture.List();
+  const HostListResult again = fixture.List();
   cr_assert(again.answered);
   cr_assert_not(again.changed);
   cr_assert(FindHeader(fixture.client_.last_call_.headers, "if-none-match") ==
