--- a/packages/entry/include/gentianroute/entry/backend_calls.h
+++ b/packages/entry/include/gentianroute/entry/backend_calls.h
@@ -11,11 +11,11 @@
 
 namespace gentianroute {
 
-/// @brief Carries out the coordinator's calls over HTTP; the protocol towards
-/// backend servers is in docs/BACKENDS.md.
+/// @brief Executes the coordinator's backend calls over HTTP;
+/// docs/BACKENDS.md describes the protocol.
 class BackendCalls {
  public:
-  /// @param touched called after each event that was fed to the coordinator
+  /// @param request_advance called after each input to the coordinator
   BackendCalls(EventLoop& loop,
                HttpClient& client,
                Coordinator& coordinator,
--- a/packages/entry/include/gentianroute/entry/claim_sync.h
+++ b/packages/entry/include/gentianroute/entry/claim_sync.h
@@ -9,9 +9,11 @@
 
 namespace gentianroute {
 
-/// @brief Carries the claim ledger's steps to the table service and back.
+/// @brief Sends the claim ledger's operations to the table service and passes
+/// the results back.
 class ClaimSync {
  public:
+  /// @param request_advance called after each result passed to the ledger
   ClaimSync(EventLoop& loop,
             TableService& tables,
             ClaimLedger& ledger,
@@ -21,7 +23,7 @@
         ledger_(ledger),
         request_advance_(std::move(request_advance)) {}
 
-  /// @brief Sends what the ledger wants done.
+  /// @brief Sends the ledger's pending operations.
   void SendOperations();
 
  private:
--- a/packages/entry/include/gentianroute/entry/config_sync.h
+++ b/packages/entry/include/gentianroute/entry/config_sync.h
@@ -11,12 +11,12 @@
 
 namespace gentianroute {
 
-/// @brief Follows the configuration log in the store and appends to it.
+/// @brief Reads the configuration log in the table service and appends to it.
 class ConfigSync {
  public:
   using DoneCallback = std::function<void(const ConfigApply&)>;
 
-  /// @param changed called when a newer revision is in force
+  /// @param on_changed called after a newer revision was applied
   ConfigSync(TableService& tables,
              ObjectStore& objects,
              ConfigFollower& follower,
@@ -24,10 +24,12 @@
              std::function<void()> on_changed,
              ConfigRetention retention = {});
 
-  /// @brief Reads what follows the present revision.
-  /// @param done called with whether the store answered
+  /// @brief Reads the revisions after the current one. Does nothing, and does
+  /// not call `done`, if an earlier poll is still running.
+  /// @param done called with true if the log was read, false otherwise
   void Poll(std::function<void(bool)> done);
-  /// @brief Takes an operator's change through to its end.
+  /// @brief Applies an operator's change.
+  /// @param done called once, with the final state
   void Apply(ConfigRevision change, const DoneCallback& done);
 
  private:
--- a/packages/entry/include/gentianroute/entry/daemon.h
+++ b/packages/entry/include/gentianroute/entry/daemon.h
@@ -31,20 +31,25 @@
 
 namespace gentianroute {
 
-/// @brief Pool under which the platform lists the entry hosts themselves.
+/// @brief Pool name of the daemons' own hosts in the platform's host list.
 inline constexpr std::string_view kEntryPool = "gentianroute";
 
-/// @brief One daemon: the decisions, and everything that feeds them.
+/// @brief A daemon: connects the coordinator to callers, operators, backend
+/// servers, peers and the platform.
 class Daemon final : private OperatorHandler {
  public:
-  /// @throws std::runtime_error if an address can't be used
+  /// @brief Starts to listen and to poll the platform.
+  /// @throws std::runtime_error if an address can't be bound
   Daemon(EventLoop& loop, const Settings& settings);
   ~Daemon() override;
 
-  /// @brief Stops in a planned way; `done` is called once nothing runs.
+  /// @brief Drains the daemon.
+  /// @param done called once, when no work is left or at the drain deadline;
+  /// ignored if a drain is already waiting
   void Drain(std::function<void()> done);
 
-  /// @brief What ends the process once an operator's drain is through.
+  /// @brief Sets the callback that ends the process after a drain that an
+  /// operator requested.
   void SetStopCallback(std::function<void()> stop) {
     stop_callback_ = std::move(stop);
   }
@@ -70,10 +75,14 @@
 
   void Listen();
   void StartTimers();
+  /// Runs AdvanceCoordinator(), or repeats it if it is already running. To be
+  /// called after each input to the coordinator.
   void RequestAdvance();
+  /// Advances the coordinator and executes its actions until none are left.
   void AdvanceCoordinator();
   void Execute(Action& action);
   void SendClaimQuery(const QueryClaimHolder& query);
+  /// Sets the timer for the coordinator's next due time.
   void ScheduleWakeup();
   void PollHosts();
   void PollConfig();
@@ -120,7 +129,7 @@
   bool advancing_ = false;
   bool advance_requested_ = false;
   bool draining_ = false;
-  std::function<void()> on_drained_;
+  std::function<void()> on_drained_;  ///< set only while Drain() is waiting
 };
 
 }  // namespace gentianroute
--- a/packages/entry/include/gentianroute/entry/order_sync.h
+++ b/packages/entry/include/gentianroute/entry/order_sync.h
@@ -17,15 +17,17 @@
 
 namespace gentianroute {
 
-/// @brief Takes part in ordering the engines of each pool that declares what
-/// they should run: leases in the table service, orders over HTTP.
+/// @brief Acquires leases of engine pools in the table service, and sends
+/// orders over HTTP to the engines of the pools whose lease it holds.
+///
+/// Only pools that declare what their engines should run take part.
 class OrderSync {
  public:
   struct Options {
     std::string daemon;
     std::uint64_t incarnation = 0;
-    /// Daemons that compete for one pool's lease, by rendezvous hash; the
-    /// others leave the store alone.
+    /// Number of daemons that compete for a pool's lease, selected by
+    /// rendezvous hashing; the others don't access its row.
     std::size_t max_candidates = 3;
   };
 
@@ -39,12 +41,11 @@
   void SetHosts(std::span<const HostRecord> backends);
   void SetDaemons(std::vector<std::string> names);
 
-  /// @brief Called a few times a second.
+  /// @brief Advances all leases and orders; to be called a few times a second.
   void Tick();
-  /// @brief Orders no more, and gives each lease back once nothing is in
+  /// @brief Stops sending orders and releases each lease once no order is in
   /// flight.
   void StartDrain() { draining_ = true; }
-  /// @brief Pools whose lease this daemon holds.
   std::size_t held_lease_count() const;
 
  private:
@@ -55,8 +56,9 @@
   void AdvanceOrders(const std::shared_ptr<Pool>& pool);
   void ReadState(const std::shared_ptr<Pool>& pool, const std::string& engine);
   void SendOrder(const std::shared_ptr<Pool>& pool, const EngineOrder& order);
-  /// Ends a call that takes longer than any order may.
+  /// Cancels the call if it is still running after the maximum order delay.
   void CancelAfterTimeout(const std::shared_ptr<HttpCallId>& call);
+  /// Updates the pool's engines from the host list.
   void UpdateEngines(Pool& pool);
 
   EventLoop& loop_;
--- a/packages/entry/src/backend_calls.cc
+++ b/packages/entry/src/backend_calls.cc
@@ -13,7 +13,7 @@
 constexpr int kOk = 200;
 constexpr std::string_view kDataPrefix = "data: ";
 
-/// What the headers of an answer say, whatever its body.
+/// Parses the status and the headers of a response.
 AttemptAnswer ParseAnswerHead(AttemptId attempt,
                               int status,
                               const HttpHeaders& headers) {
@@ -60,7 +60,7 @@
 
 }  // namespace
 
-/// What both sorts of answer share.
+/// Common part of the observers of plain and of streamed responses.
 class BackendCalls::Observer : public HttpCallObserver {
  public:
   Observer(BackendCalls& owner, AttemptId attempt)
@@ -85,10 +85,10 @@
   BackendCalls& owner_;
   AttemptId attempt_;
   AttemptAnswer answer_;
-  std::uint64_t unreported_bytes_ = 0;  ///< bytes of body not yet handed on
+  std::uint64_t unreported_bytes_ = 0;  ///< body bytes not yet passed on
 };
 
-/// A whole JSON answer of a plain service.
+/// Collects the complete JSON response of a service that does not stream.
 class BackendCalls::PlainObserver final : public Observer {
  public:
   using Observer::Observer;
@@ -99,14 +99,14 @@
   }
   void OnDone() override {
     if (answer_.status == kOk && !json::accept(answer_.body)) {
-      OnError(HttpCallError::kTruncated, "the answer is not JSON");
+      OnError(HttpCallError::kTruncated, "the response body is not JSON");
       return;
     }
     Deliver();
   }
 };
 
-/// A model engine's stream of server-sent events.
+/// Parses a model engine's stream of server-sent events.
 class BackendCalls::StreamObserver final : public Observer {
  public:
   using Observer::Observer;
@@ -129,9 +129,10 @@
   }
 
   void OnDone() override {
-    // A stream without its last event was cut where a chunk ended.
+    // Without the final event, the stream was cut off at a chunk boundary.
     if (answer_.status == kOk && !done_) {
-      OnError(HttpCallError::kTruncated, "the stream has no end");
+      OnError(HttpCallError::kTruncated,
+              "the stream ended without its final event");
       return;
     }
     Deliver();
@@ -141,13 +142,14 @@
   void ParseEvent(std::string_view text) {
     const json event = json::parse(text, nullptr, false);
     if (event.is_discarded() || !event.is_object()) {
-      return;  // the gap it leaves is found by the next offset
+      return;  // the next event's offset reveals the gap
     }
     try {
       HandleEvent(event);
     } catch (const json::exception&) {
-      // A field of another type. The exception would leave the loop and end
-      // the daemon; left out, the event is a gap like any other.
+      // A field has the wrong type. An uncaught exception would leave the event
+      // loop and terminate the daemon; skipping the event leaves a gap, which
+      // the next offset reveals.
     }
   }
 
--- a/packages/entry/src/config_sync.cc
+++ b/packages/entry/src/config_sync.cc
@@ -23,7 +23,7 @@
     return;
   }
   polling_ = true;
-  // Reading is the first half of a change: one without an id has no second.
+  // A change without an id only reads the log.
   Apply(ConfigRevision{},
         [this, done = std::move(done)](const ConfigApply& reader) {
           polling_ = false;
--- a/packages/entry/src/daemon.cc
+++ b/packages/entry/src/daemon.cc
@@ -19,7 +19,8 @@
 constexpr std::size_t kMaxHeaviest = 16;
 constexpr Duration kMinWakeupDelay = std::chrono::microseconds(100);
 
-/// Service levels outlive the process, so their time is the wall clock's.
+/// Current wall-clock time. Service levels are kept across restarts, and the
+/// loop's monotonic time starts anew in each process.
 TimePoint WallTimePoint(const EventLoop& loop) {
   return TimePoint{Duration(loop.WallTime())};
 }
@@ -133,7 +134,7 @@
 
 Daemon::~Daemon() = default;
 
-// --- The pump: events in, actions out ---------------------------------------
+// --- Coordinator inputs and actions -----------------------------------------
 
 void Daemon::RequestAdvance() {
   advance_requested_ = true;
@@ -217,8 +218,9 @@
                               done);
     return;
   }
-  // A row of this daemon's own: a write that it had given up took effect late,
-  // or an earlier process of this name made it, whose token nobody here knows.
+  // The claim row is this daemon's own: either a write that had timed out was
+  // applied later, or an earlier process of the same name wrote it and its
+  // token is unknown here.
   peer_service_.OnJoin(query.claim.token, done);
 }
 
@@ -377,8 +379,8 @@
   history_sync_.Save();
   order_sync_.StartDrain();
   LogEvent("drain_begun").Field("active", coordinator_.active());
-  // The balancer needs a moment to see that this daemon is not ready; what it
-  // sends until then is served.
+  // The load balancer takes a while to notice that this daemon is not ready;
+  // requests that it sends until then are served.
   const auto notice =
       milliseconds(settings_.get().getLimits().getDrainNoticeMs());
   loop_.After(notice, [this] {
@@ -392,7 +394,7 @@
 void Daemon::Drain(std::function<void()> done) {
   BeginDrain();
   if (on_drained_) {
-    return;  // a second signal cuts off nothing
+    return;  // a second signal must not cut off requests
   }
   on_drained_ = std::move(done);
   const auto limits = settings_.get().getLimits();
@@ -406,10 +408,10 @@
 }
 
 void Daemon::CheckDrained() {
-  // A connection that is still open may carry a request that is on its way: if
-  // the process ended now, its caller would see a reset and not know whether it
-  // ran. Each answer closes its connection and idle ones time out, so waiting
-  // for the last connection leaves no such request, and ends.
+  // Waits for the last connection to close: an open one may carry a request
+  // that has not been read yet. If the process ended now, its caller would see
+  // a reset and not know whether the request ran. The wait ends, since each
+  // response closes its connection and idle connections time out.
   const bool idle = coordinator_.active() == 0 && caller_api_.active() == 0 &&
                     claims_.pending() == 0 &&
                     order_sync_.held_lease_count() == 0 &&
--- a/packages/entry/src/order_sync.cc
+++ b/packages/entry/src/order_sync.cc
@@ -64,8 +64,8 @@
   std::map<std::string, HostRecord> engines;
 };
 
-/// One order on its way. The lease is looked at once more as the connection
-/// stands: connecting may have taken long, or the process was paused.
+/// Sends one order. Checks the lease again when connected, since connecting may
+/// have taken long or the process may have been paused.
 class OrderSync::OrderCall final : public HttpCallObserver {
  public:
   OrderCall(OrderSync& owner,
@@ -92,7 +92,7 @@
     }
   }
   void OnError(HttpCallError error, std::string_view /*detail*/) override {
-    if (error == HttpCallError::kConnect) {  // nothing was written
+    if (error == HttpCallError::kConnect) {  // no byte was sent
       pool_->orders.OnOrderAnswered(order_.engine);
     }
   }
@@ -249,7 +249,8 @@
   call.body =
       json{{"fencing", order.fencing}, {"desired", ToJson(order.desired)}}
           .dump();
-  // An idle connection that went silent would hold the order back for long.
+  // An idle connection may be dead, which would delay the order until it times
+  // out.
   call.fresh_connection = true;
   auto id = std::make_shared<HttpCallId>();
   *id = client_.Call(std::move(call),
