--- a/packages/entry/include/gentianroute/entry/peer_links.h
+++ b/packages/entry/include/gentianroute/entry/peer_links.h
@@ -20,7 +20,8 @@
 
 namespace gentianroute {
 
-/// @brief Another daemon, from the host list or the settings' seeds.
+/// @brief Address of another daemon, from the host list or from the seeds in
+/// the settings.
 struct PeerAddress {
   std::string name;
   std::string data_centre;
@@ -28,7 +29,7 @@
   std::uint16_t port = 0;
 };
 
-/// @brief What the daemon does with what peers say and ask.
+/// @brief Handles messages and requests of peers.
 class PeerHandler {
  public:
   virtual ~PeerHandler() = default;
@@ -36,34 +37,37 @@
   virtual void OnDigest(schema::Digest::Reader digest) = 0;
   virtual std::vector<ConfigRevision> RevisionsAfter(std::uint64_t revision,
                                                      std::size_t limit) = 0;
+  /// @brief Handles the response to PeerLinks::FetchRevisions().
   virtual void OnRevisions(const std::vector<ConfigRevision>& revisions) = 0;
   virtual ConfigSnapshot Snapshot() = 0;
   virtual void OnSnapshot(const ConfigSnapshot& snapshot) = 0;
   virtual std::span<const HostRecord> Hosts() const = 0;
   virtual void OnHosts(const std::vector<HostRecord>& hosts) = 0;
+  /// @brief Handles a peer's query for the outcome of a claim.
+  /// @param token token of the claim
   virtual void OnJoin(std::string_view token,
                       std::function<void(JoinOutcome)> done) = 0;
 };
 
-/// @brief Talks to other daemons over Cap'n Proto RPC.
+/// @brief Exchanges state with other daemons over Cap'n Proto RPC.
 ///
-/// Each round reaches a fixed number of peers picked at random, so that the
-/// work of a daemon does not grow with their number; what is new travels on as
-/// a rumour, at once.
+/// Each gossip round contacts a fixed number of random peers, so that the load
+/// of a daemon does not grow with the number of peers. News is spread at once,
+/// in extra rounds.
 class PeerLinks {
  public:
   struct Options {
     std::string name;
     std::string address;
     std::uint16_t port = 0;
-    std::size_t fanout = 1;           ///< peers in a round
-    std::size_t rumour_fanout = 2;    ///< peers that hear news at once
-    std::uint32_t rumour_rounds = 1;  ///< extra rounds in a period
+    std::size_t fanout = 1;           ///< peers in a periodic round
+    std::size_t rumour_fanout = 2;    ///< peers in an extra round
+    std::uint32_t rumour_rounds = 1;  ///< limit of extra rounds in a period
     Duration call_timeout = std::chrono::seconds(1);
     std::uint64_t seed = 1;
   };
 
-  /// @throws std::runtime_error if the address can't be used
+  /// @throws std::runtime_error if the address can't be bound
   PeerLinks(EventLoop& loop, Options options, PeerHandler& handler);
   ~PeerLinks();
 
@@ -71,26 +75,30 @@
   void SetPeers(std::vector<PeerAddress> peers);
   std::size_t peer_count() const { return peers_.size(); }
 
-  /// @brief One round with a few peers; called once a period.
+  /// @brief Starts a periodic round; to be called once in each period.
   void Gossip();
-  /// @brief A round at once, for news; only a few in each period, so that a
-  /// burst of news costs no more than the period's rounds do.
+  /// @brief Starts an extra round to spread news. Does nothing once the
+  /// period's limit is reached, so that bursts of news don't add unlimited
+  /// load.
   void SpreadRumour();
 
-  /// @brief Asks a peer for what follows a revision; OnRevisions() hears it.
-  /// A peer that no longer keeps all of it is asked for a snapshot instead.
+  /// @brief Requests the revisions after `after`; calls OnRevisions() with
+  /// them. If the peer no longer keeps all of them, requests a snapshot instead
+  /// and calls OnSnapshot().
   void FetchRevisions(const std::string& peer, std::uint64_t after);
 
-  /// @brief Asks a peer for the host list that it goes by; OnHosts() hears it.
+  /// @brief Requests the host list that a peer uses; calls OnHosts() with it.
   void FetchHosts(const std::string& peer);
 
   /// @brief Asks a daemon for the outcome of a claim.
-  /// @param done called once; kUnknown if it is not reached in time
+  /// @param done called once; with kUnknown if the daemon did not respond in
+  /// time
   void QueryOutcome(std::string_view daemon,
                     const Claim& claim,
                     Duration timeout,
                     std::function<void(JoinOutcome)> done);
 
+  /// @brief Stops accepting connections.
   void Stop();
 
  private:
@@ -105,12 +113,15 @@
   void RequestRevisions(Link& link, std::uint64_t after);
   void RequestSnapshot(Link& link);
   void RequestHosts(Link& link);
-  /// Calls back once the link is connected; never if it does not come up.
+  /// Calls `done` once the link is connected. Drops the link without calling
+  /// `done` if it is not connected after `polls_left` checks.
   void WhenConnected(const std::string& peer,
                      std::uint32_t polls_left,
                      const std::function<void(Link&)>& done);
   void DropIdleLinks();
   void DropLink(const std::string& peer);
+  /// Cancels a call after `timeout`. Drops the link to the peer if the call
+  /// fails or times out.
   kj::Promise<void> AddTimeout(kj::Promise<void> call,
                                const std::string& peer,
                                Duration timeout);
@@ -121,7 +132,7 @@
   Rng rng_;
   std::vector<PeerAddress> peers_;
   std::map<std::string, std::unique_ptr<Link>, std::less<>> links_;
-  std::uint64_t round_ = 0;
+  std::uint64_t round_ = 0;  ///< number of the current periodic round
   std::uint32_t rumour_rounds_left_ = 0;
   std::unique_ptr<RpcServer> server_;
   struct Tasks;
--- a/packages/entry/include/gentianroute/entry/peer_revisions.h
+++ b/packages/entry/include/gentianroute/entry/peer_revisions.h
@@ -12,25 +12,26 @@
 
 namespace gentianroute {
 
-/// @brief The revision that each peer last reported, for operators who wait
-/// until a change is in force everywhere.
+/// @brief Keeps the revision that each peer last reported, for operators who
+/// wait until all daemons have applied a change.
 class PeerRevisions {
  public:
-  /// A peer that was silent for longer counts as out of reach.
+  /// A peer that sends no digest for longer is reported as not reachable.
   static constexpr Duration kSilenceTimeout = std::chrono::seconds(10);
 
-  /// @param started when this daemon began to listen
+  /// @param started time at which this daemon started to listen
   explicit PeerRevisions(TimePoint started) : started_(started) {}
 
-  /// @brief A peer that the host list names.
+  /// @brief Adds a peer that is in the host list.
   void AddListed(std::string_view peer, std::string_view data_centre);
-  /// @brief Forgets peers that Know() has not named since the last call.
+  /// @brief Removes the peers that were not passed to AddListed() since the
+  /// last call of this function.
   void RemoveUnlisted();
-  /// @brief A peer told its revision; passed over if the list has not named it.
+  /// @brief Records a peer's revision; ignored if the peer is not listed.
   void OnRevision(TimePoint now, std::string_view peer, std::uint64_t revision);
 
-  /// @brief One object a peer: name, data_centre, revision, heard_ms_ago (null:
-  /// never) and reachable.
+  /// @brief Returns an array with one object per peer: name, data_centre,
+  /// revision, heard_ms_ago (null if it has never sent a digest) and reachable.
   nlohmann::json ToJson(TimePoint now) const;
 
  private:
@@ -38,7 +39,7 @@
     std::string data_centre;
     std::uint64_t revision = 0;
     std::optional<TimePoint> heard_at;
-    bool listed = true;
+    bool listed = true;  ///< added since the last RemoveUnlisted()
   };
 
   TimePoint started_;
--- a/packages/entry/include/gentianroute/entry/peer_service.h
+++ b/packages/entry/include/gentianroute/entry/peer_service.h
@@ -20,10 +20,11 @@
 
 namespace gentianroute {
 
-/// @brief What the daemon tells peers, and what it takes over from them.
+/// @brief Builds the digests that are sent to peers, and applies what peers
+/// send.
 class PeerService final : public PeerHandler {
  public:
-  /// @brief The state that peers share; outlives the service.
+  /// @brief The state that is shared with peers; must outlive the service.
   struct Dependencies {
     schema::Settings::Reader settings;
     std::uint64_t incarnation;
@@ -39,25 +40,28 @@
 
   using HostsCallback = std::function<void(const std::vector<HostRecord>&)>;
 
-  /// @param changed called when a peer brought a newer revision
-  /// @param hosts_heard called with a peer's host list while there is none
-  /// @param touch called when the coordinator has something to do
+  /// @param on_config_changed called after a newer revision from a peer was
+  /// applied
+  /// @param on_hosts_received called with a peer's host list as long as this
+  /// daemon has none
+  /// @param request_advance called after each input to the coordinator
   PeerService(EventLoop& loop,
               const Dependencies& dependencies,
               std::function<void()> on_config_changed,
               HostsCallback on_hosts_received,
               std::function<void()> request_advance);
 
-  /// @brief The links over which news goes out; set once, before any call.
+  /// @brief Sets the links to the peers; to be called once, before all others.
   void SetLinks(PeerLinks& links) { links_ = &links; }
-  /// @brief The host list that this daemon goes by now.
+  /// @brief Sets the current host list, which peers may request.
   void SetHosts(const std::vector<HostRecord>& hosts);
-  /// @brief Whether it has a host list, of the platform's or a peer's.
+  /// @brief Whether a host list was received from the platform or a peer.
   bool knows_hosts() const { return knows_hosts_; }
   void StartDrain() { draining_ = true; }
-  /// @brief Tells peers at once of servers that are found to be leaving.
+  /// @brief Adds the servers that are leaving to the digests, and spreads new
+  /// ones in an extra gossip round.
   void AnnounceLeaving();
-  /// @brief Answers a peer that joined a request here.
+  /// @brief Answers a peer's OnJoin() query.
   void Answer(const AnswerJoin& answer);
 
   // PeerHandler.
--- a/packages/entry/src/peer_links.cc
+++ b/packages/entry/src/peer_links.cc
@@ -11,7 +11,8 @@
 namespace gentianroute {
 namespace {
 
-constexpr std::uint32_t kRevisionsPerCall = 256;  // all that is kept
+// Default of ConfigFollower::Options::max_kept_revisions.
+constexpr std::uint32_t kRevisionsPerCall = 256;
 constexpr Duration kConnectPollInterval = std::chrono::milliseconds(20);
 constexpr std::uint32_t kMaxConnectPolls = 20;
 constexpr std::uint64_t kMaxIdleRounds = 16;
@@ -66,7 +67,7 @@
 
 }  // namespace
 
-/// The capability that every connected peer gets.
+/// RPC interface that each connected peer receives.
 class PeerLinks::Service final : public schema::Peer::Server {
  public:
   explicit Service(PeerHandler& handler) : handler_(handler) {}
@@ -209,8 +210,9 @@
 }
 
 void PeerLinks::DropIdleLinks() {
-  // Each round meets other peers: in the end there would be a link to each of
-  // them, and the connections of all daemons would grow with their square.
+  // Each round selects other peers. If links were never dropped, every daemon
+  // would end up connected to every other one, and the number of connections
+  // would grow with the square of the number of daemons.
   std::vector<std::string> idle;
   for (const auto& [name, link] : links_) {
     if (link->last_used_round + kMaxIdleRounds < round_) {
@@ -223,7 +225,8 @@
 }
 
 void PeerLinks::DropLink(const std::string& peer) {
-  // Called from the link's own callbacks too, so it is destroyed later.
+  // May be called from a callback of the link, so the link is destroyed later,
+  // from the event loop.
   const auto found = links_.find(peer);
   if (found == links_.end()) {
     return;
@@ -236,17 +239,17 @@
 kj::Promise<void> PeerLinks::AddTimeout(kj::Promise<void> call,
                                         const std::string& peer,
                                         Duration timeout) {
-  auto late = kj::newPromiseAndFulfiller<void>();
+  auto timed_out = kj::newPromiseAndFulfiller<void>();
   auto fulfiller = std::make_shared<kj::Own<kj::PromiseFulfiller<void>>>(
-      kj::mv(late.fulfiller));
+      kj::mv(timed_out.fulfiller));
   const TimerId timer = loop_.After(timeout, [fulfiller] {
     (*fulfiller)->reject(KJ_EXCEPTION(DISCONNECTED, "no answer in time"));
   });
-  return call.exclusiveJoin(kj::mv(late.promise))
+  return call.exclusiveJoin(kj::mv(timed_out.promise))
       .then([this, timer] { loop_.Cancel(timer); },
             [this, timer, peer](kj::Exception&& exception) {
               loop_.Cancel(timer);
-              // A link that went silent is rebuilt by the next round.
+              // The next round with this peer creates a new link.
               DropLink(peer);
               kj::throwRecoverableException(kj::mv(exception));
             });
@@ -380,7 +383,7 @@
   }
   Link* link = GetOrCreateLink(*peer);
   if (!link->connection.connected()) {
-    // Give the connection one short moment to come up, then ask or give up.
+    // Wait briefly for the connection, then send the query or give up.
     constexpr Duration kConnectWait = std::chrono::milliseconds(200);
     if (timeout <= kConnectWait) {
       done({});
--- a/packages/entry/src/peer_revisions.cc
+++ b/packages/entry/src/peer_revisions.cc
@@ -28,7 +28,7 @@
   if (found == peers_.end()) {
     return;
   }
-  // Digests may cross on the way; a daemon only ever moves forward.
+  // Digests may arrive out of order, but a daemon's revision never decreases.
   found->second.revision = std::max(found->second.revision, revision);
   found->second.heard_at = now;
 }
--- a/packages/entry/src/peer_service.cc
+++ b/packages/entry/src/peer_service.cc
@@ -8,8 +8,9 @@
 
 using std::chrono::milliseconds;
 
-/// Bounds of a digest: at one exchange a second each way, and the rumours of
-/// 28,000 changes a day, gossip stays under 4 KB/s for each daemon.
+/// Limits of the lists in a digest: with one exchange per second in each
+/// direction, and extra rounds for 28,000 changes a day, each daemon's gossip
+/// stays below 4 KB/s.
 constexpr std::size_t kMaxHeavyInDigest = 6;
 constexpr std::size_t kMaxQuarantinedInDigest = 8;
 constexpr std::uint32_t kNeverRead = 0xffffffff;
@@ -72,7 +73,7 @@
       std::min(quarantined.size(), kMaxQuarantinedInDigest);
   auto quarantine_list = digest.initQuarantined(static_cast<unsigned>(count));
   for (unsigned i = 0; i < quarantine_list.size(); ++i) {
-    // In turn, so that peers hear of all in a few rounds.
+    // In rotation, so that peers receive all of them within a few rounds.
     const auto& [fingerprint, remaining] =
         quarantined[quarantine_offset_++ % quarantined.size()];
     quarantine_list[i].setFingerprint(fingerprint.value);
@@ -120,10 +121,10 @@
 }
 
 void PeerService::OnHosts(const std::vector<HostRecord>& hosts) {
-  // A host that starts while the platform is out would refuse every request
-  // for want of servers, though its peers know them. Only a daemon without a
-  // list takes one from a peer, and the platform's replaces it, so that an old
-  // list can't come back by way of peers.
+  // A daemon that starts during an outage of the platform would otherwise know
+  // no servers and reject all requests. Only a daemon without a list accepts a
+  // peer's, and the platform's list replaces it, so that peers can't bring back
+  // an outdated list.
   if (!knows_hosts_ && !hosts.empty()) {
     on_hosts_received_(hosts);
   }
