--- a/packages/entry/include/gentianroute/entry/cache_sync.h
+++ b/packages/entry/include/gentianroute/entry/cache_sync.h
@@ -14,28 +14,28 @@
 
 namespace gentianroute {
 
-/// @brief Follows the cache events of the engines of one data centre, and lets
-/// the server table prefer an engine that holds a prompt's prefix.
+/// @brief Polls the cache events of a data centre's engines, so that the server
+/// table can prefer engines that have a prompt's prefix in their cache.
 class CacheSync {
  public:
-  /// @param servers prefers holders from now on; outlived by this module's
-  /// last use of it
+  /// @param servers uses this object's prefix affinity from now on, so this
+  /// object must exist as long as servers are selected from the table
   CacheSync(EventLoop& loop,
             HttpClient& client,
             ServerTable& servers,
             std::string data_centre);
 
-  /// @brief Asks the next few engines what changed in their caches.
-  /// @param catalogue engines are the pools of its stages that stream
+  /// @brief Requests new cache events from the next engines in rotation.
+  /// @param catalogue the pools of its streaming stages contain the engines
   /// @complexity linear in servers, with a bounded number of calls
   void Poll(const Catalogue& catalogue);
 
  private:
   struct Engine {
-    std::uint64_t incarnation = 0;  ///< as the engine itself gives it
-    std::uint64_t sequence = 0;     ///< of the last event taken in
+    std::uint64_t incarnation = 0;  ///< as reported in its responses
+    std::uint64_t sequence = 0;     ///< of the last event applied
     HttpCallId call;
-    TimePoint called_at{};
+    TimePoint called_at{};  ///< start of the last call
     bool call_pending = false;
   };
 
@@ -55,7 +55,7 @@
   std::string data_centre_;
   PrefixAffinity caches_;
   std::map<std::string, Engine> engines_;
-  std::string last_polled_;
+  std::string last_polled_;  ///< name of the last engine polled
 };
 
 }  // namespace gentianroute
--- a/packages/entry/include/gentianroute/entry/caller_api.h
+++ b/packages/entry/include/gentianroute/entry/caller_api.h
@@ -14,20 +14,22 @@
 
 namespace gentianroute {
 
-/// @brief Whose key it is.
+/// @brief Owner of a bearer key.
 struct Caller {
   std::string organisation;
   std::string subscriber;
   double weight = 1;
 };
 
-/// @brief Digest of a bearer key to its owner.
+/// @brief Maps the SHA-256 digest of each bearer key to its owner.
 using CallerTable = std::unordered_map<std::string, Caller>;
 CallerTable MakeCallerTable(schema::Settings::Reader settings);
 
 /// @brief The callers' HTTP interface; docs/CALLERS.md describes it.
 class CallerApi {
  public:
+  /// @param id_prefix prefix of the request ids; unique to this process
+  /// @param request_advance called after each input to the coordinator
   CallerApi(EventLoop& loop,
             Coordinator& coordinator,
             CallerTable callers,
@@ -38,6 +40,7 @@
   void Deliver(const DeliverChunk& chunk);
   void Finish(const FinishRequest& finish);
 
+  /// @brief Number of requests that are not answered yet.
   std::size_t active() const { return exchanges_.size(); }
 
  private:
@@ -45,7 +48,7 @@
     std::shared_ptr<HttpResponder> responder;
     std::string request_id;
     bool wants_stream = false;
-    bool begun = false;
+    bool begun = false;  ///< the first part of a stream was sent
   };
 
   void Reject(ErrorKind kind,
@@ -63,7 +66,7 @@
   std::string id_prefix_;
   std::function<void()> request_advance_;
   std::unordered_map<RequestId, Exchange> exchanges_;
-  std::uint64_t rejected_count_ = 0;
+  std::uint64_t rejected_count_ = 0;  ///< for the ids of rejected requests
 };
 
 }  // namespace gentianroute
--- a/packages/entry/include/gentianroute/entry/config_report.h
+++ b/packages/entry/include/gentianroute/entry/config_report.h
@@ -7,10 +7,10 @@
 
 namespace gentianroute {
 
-/// @brief All documents in force, as operators read them.
+/// @brief Returns all current documents, for the operators' interface.
 nlohmann::json DocumentsReport(const ConfigFollower& follower);
 
-/// @brief The revisions that are kept, oldest first.
+/// @brief Returns the revisions that are kept, oldest first.
 nlohmann::json HistoryReport(const ConfigFollower& follower);
 
 }  // namespace gentianroute
--- a/packages/entry/include/gentianroute/entry/daemon_options.h
+++ b/packages/entry/include/gentianroute/entry/daemon_options.h
@@ -17,8 +17,9 @@
 
 namespace gentianroute {
 
-// The settings as options of the daemon's parts.
+// Conversions of the settings to the options of the daemon's components.
 
+/// @brief Returns the path cost to each data centre that has a link.
 std::map<std::string, PathCost> PathCosts(schema::Settings::Reader settings);
 
 std::vector<PeerAddress> SeedPeers(schema::Settings::Reader settings);
--- a/packages/entry/include/gentianroute/entry/digest.h
+++ b/packages/entry/include/gentianroute/entry/digest.h
@@ -7,11 +7,12 @@
 
 namespace gentianroute {
 
-/// @brief SHA-256 of a text.
+/// @brief Computes the SHA-256 digest of a text.
 /// @return 64 lower-case hexadecimal digits
 std::string Sha256Hex(std::string_view text);
 
-/// @brief Fast hash for fingerprints and prefixes; not for secrets.
+/// @brief Computes a fast, non-cryptographic hash, for fingerprints and
+/// prefixes.
 std::uint64_t FastHash(std::string_view text);
 
 }  // namespace gentianroute
--- a/packages/entry/include/gentianroute/entry/history_sync.h
+++ b/packages/entry/include/gentianroute/entry/history_sync.h
@@ -10,11 +10,11 @@
 
 namespace gentianroute {
 
-/// @brief Keeps a daemon's long service-level windows in the object store.
+/// @brief Saves a daemon's long service-level windows in the object store.
 ///
-/// One object for each daemon name, written every ten minutes: 810 daemons
-/// write 1.4 a second. A replaced host of the same name goes on from it and
-/// loses what was counted since, ten minutes at most.
+/// Each daemon name has one object, written every ten minutes; 810 daemons
+/// write 1.4 objects per second in total. A replacement host of the same name
+/// continues from the object and loses at most ten minutes of counts.
 class HistorySync {
  public:
   HistorySync(EventLoop& loop,
@@ -22,10 +22,11 @@
               ServiceLevels& levels,
               std::string_view daemon);
 
-  /// @brief Reads what an earlier process left, then saves now and then.
+  /// @brief Loads the history of an earlier process and starts saving
+  /// periodically.
   void Start();
-  /// @brief Saves now, as a stop does. Nothing happens before the read has been
-  /// answered: writing first would wipe out the history it has not seen.
+  /// @brief Saves now. Does nothing before the history is loaded, since that
+  /// would overwrite it.
   void Save();
 
  private:
@@ -35,7 +36,7 @@
   ObjectStore& store_;
   ServiceLevels& levels_;
   std::string object_;
-  bool loaded_ = false;
+  bool loaded_ = false;  ///< the store responded, with or without an object
 };
 
 }  // namespace gentianroute
--- a/packages/entry/include/gentianroute/entry/operator_api.h
+++ b/packages/entry/include/gentianroute/entry/operator_api.h
@@ -12,12 +12,13 @@
 
 namespace gentianroute {
 
-/// @brief What the daemon tells operators and does for them.
+/// @brief Executes the operators' requests.
 class OperatorHandler {
  public:
   virtual ~OperatorHandler() = default;
   virtual bool IsReady() const = 0;
   virtual nlohmann::json Status() const = 0;
+  /// @brief All current documents, as the response body of /v1/documents.
   virtual nlohmann::json ListDocuments() const = 0;
   virtual const gentianroute::Documents& CurrentDocuments() const = 0;
   virtual nlohmann::json History() const = 0;
--- a/packages/entry/include/gentianroute/entry/problem.h
+++ b/packages/entry/include/gentianroute/entry/problem.h
@@ -9,15 +9,17 @@
 
 namespace gentianroute {
 
-/// @brief The whole answer to an error, with Retry-After where the table has
-/// one.
+/// @brief Builds the complete response to an error, with the Retry-After header
+/// if the error kind has one.
+/// @param request_id omitted from the headers and the body if empty
+/// @param key_checked see ProblemBody()
 HttpResponse ProblemResponse(ErrorKind kind,
                              std::string_view detail,
                              std::string_view request_id,
                              bool key_checked = true);
 
-/// @brief The answer to a request that the HTTP library turned down with a
-/// status of its own, before any of it was handed on.
+/// @brief Builds the response to a request that the HTTP library rejected with
+/// `status` before passing it on.
 HttpResponse ProblemForStatus(int status);
 
 }  // namespace gentianroute
--- a/packages/entry/include/gentianroute/entry/report.h
+++ b/packages/entry/include/gentianroute/entry/report.h
@@ -11,20 +11,21 @@
 
 namespace gentianroute {
 
-/// @brief Attainment of each service: sums only, so that the reports of several
-/// daemons add up.
+/// @brief Attainment of each service, as counts, so that the reports of several
+/// daemons can be added up.
 nlohmann::json ServicesReport(const ServiceLevels& levels, TimePoint now);
 
 /// @brief Calls, units, billed bytes and cost of each stage.
 nlohmann::json StagesReport(const RequestMetrics& metrics);
 
-/// @brief Servers that get no work now, with the reason.
+/// @brief Servers that are sent no calls now, with the reason.
 nlohmann::json UnavailableServersReport(const ServerTable& servers,
                                         TimePoint now);
 
-/// @brief Every known server, with its load and what calls to it came to.
+/// @brief All known servers, with their load and their calls and failures.
 nlohmann::json ServersReport(const ServerTable& servers, TimePoint now);
 
+/// @brief The subscribers with the highest usage.
 nlohmann::json HeaviestReport(const std::vector<UsageRecord>& heaviest);
 
 }  // namespace gentianroute
--- a/packages/entry/src/cache_sync.cc
+++ b/packages/entry/src/cache_sync.cc
@@ -13,9 +13,9 @@
 
 constexpr int kOk = 200;
 constexpr int kHexadecimal = 16;
-/// Calls in one round; with more engines each is asked less often.
+/// Calls per round; with more engines, each is polled less often.
 constexpr std::size_t kMaxCallsPerRound = 16;
-/// An answer that takes longer does not come: its connection went silent.
+/// After this time without an answer, the connection is considered dead.
 constexpr Duration kAnswerTimeout = std::chrono::seconds(2);
 
 std::set<std::string> EnginePools(const Catalogue& catalogue) {
@@ -64,7 +64,7 @@
       followed.push_back(server);
     }
   }
-  // In turn, beginning behind the last one of the round before.
+  // In rotation, starting after the last engine of the previous round.
   const auto next =
       std::ranges::find_if(followed, [this](const ServerRef& server) {
         return server->host.name > last_polled_;
@@ -103,8 +103,8 @@
 }
 
 void CacheSync::CancelIfTimedOut(const Server& server, Engine& engine) {
-  // A connection that lost its far end stays silent for good. Without this the
-  // engine would never be asked again; a new connection works.
+  // On a connection whose other end is gone, an answer never arrives, and the
+  // engine would not be polled again. A new connection works.
   if (engine.call_pending && loop_.Now() >= engine.called_at + kAnswerTimeout) {
     client_.Cancel(engine.call);
     client_.DiscardIdleConnections(server.host.address, server.host.port);
@@ -138,7 +138,7 @@
   try {
     ApplyEvents(name, found->second, result.body);
   } catch (const json::exception&) {
-    // Not this protocol: what is believed of the cache can't be kept current.
+    // The response is malformed, so the cache contents can't be kept current.
     caches_.RemoveEngine(name);
     found->second = {};
   }
@@ -150,8 +150,9 @@
   const json answer = json::parse(body);
   const auto incarnation = answer.at("incarnation").get<std::uint64_t>();
   if (incarnation != engine.incarnation) {
-    // Restarted: its numbers begin again, and its cache is empty. Asked for
-    // what follows an old number it would leave out all that came before.
+    // The engine has restarted: its cache is empty and its sequence numbers
+    // start again. An answer to a request with an old sequence number lacks the
+    // events up to that number, so the next poll requests all of them.
     caches_.RemoveEngine(name);
     const bool from_start = engine.sequence == 0;
     engine.incarnation = incarnation;
--- a/packages/entry/src/caller_api.cc
+++ b/packages/entry/src/caller_api.cc
@@ -23,11 +23,11 @@
 constexpr std::size_t kMaxHeaderBytes = 16 * 1024;
 constexpr std::size_t kMaxKeyCharacters = 255;
 constexpr std::size_t kTraceParentCharacters = 55;
-// Longer than any profile's deadline, which caps it; keeps the sum of times
-// far from the end of their range.
+// Above any profile's deadline, which is the effective limit; avoids overflow
+// when the timeout is added to a time.
 constexpr std::int64_t kMaxTimeoutMs = 24 * 60 * 60 * 1000;
 
-/// Why a request can't be taken, or nothing.
+/// Reason for which a request is rejected.
 struct RequestError {
   ErrorKind kind;
   std::string detail;
@@ -57,9 +57,9 @@
   return std::ranges::all_of(text, [](char c) { return c > ' ' && c < 0x7f; });
 }
 
-/// The key goes on to backend servers in a header: a line break in it, which
-/// HTTP/2 lets through, would begin a header or a request of the caller's own
-/// making there. Visible characters only leave no such break.
+/// The key is sent to backend servers in a header. HTTP/2 allows line breaks in
+/// a value, with which a caller could inject a header or a request there, so
+/// only visible ASCII characters are accepted.
 std::optional<RequestError> CheckKey(std::string_view key) {
   if (key.size() <= kMaxKeyCharacters && IsVisibleAscii(key)) {
     return std::nullopt;
@@ -85,8 +85,9 @@
           " bytes; allowed: " + std::to_string(kMaxHeaderBytes)};
 }
 
-/// A trace context as it goes on; anything else is left out, as its standard
-/// asks, and could break out of its header as a key could.
+/// Returns the trace context to propagate, or an empty string if it is invalid.
+/// The W3C Trace Context standard requires to ignore an invalid one, which
+/// could also be used for header injection, as in CheckKey().
 std::string_view ReadTraceParent(const HttpRequest& request) {
   const std::string_view text = FindHeader(request.headers, "traceparent");
   const bool valid =
@@ -95,8 +96,10 @@
   return valid ? text : std::string_view();
 }
 
-/// Requests of one conversation share a prompt prefix, which an engine that
-/// served it before still has in its cache.
+/// Hashes the conversation id, or else the beginning of the prompt. Requests
+/// with the same hash probably share a prompt prefix, which the engine that
+/// served an earlier one may still have in its cache.
+/// @return 0 if the body has neither
 std::uint64_t HashPrefix(const json& body) {
   for (const char* field : {"conversation", "prompt"}) {
     if (!body.is_object() || !body.contains(field) ||
@@ -111,7 +114,7 @@
   return 0;
 }
 
-/// Reads what the coordinator needs of a request.
+/// Parses and validates a request for the coordinator.
 std::optional<RequestError> ReadSubmission(HttpRequest& request,
                                            const Caller& caller,
                                            Submission& submission) {
@@ -126,8 +129,8 @@
   try {
     body = json::parse(request.body);
   } catch (const json::exception& error) {
-    // Not parse_error alone: a number out of range is another kind, and an
-    // exception that leaves the handler ends the daemon.
+    // Not only parse_error: a number out of range throws another type, and an
+    // uncaught exception terminates the daemon.
     return RequestError{ErrorKind::kMalformedRequest,
                         std::string("the body is not JSON: ") + error.what()};
   }
@@ -146,7 +149,7 @@
   return std::nullopt;
 }
 
-/// One line for each request; neither its key nor its body is in it.
+/// Logs one line for each request; contains neither its key nor its body.
 void LogRequest(const FinishRequest& finish, std::string_view request_id) {
   std::uint32_t attempts = 0;
   for (const StageReport& stage : finish.stages) {
@@ -265,7 +268,7 @@
   };
   if (request.over_limit) {
     reject(ErrorKind::kTooManyConnections,
-           "this connection is one more than the daemon takes");
+           "the connection exceeds the daemon's limit");
     return;
   }
   if (const auto request_error = CheckHeaderSize(request.headers)) {
@@ -273,7 +276,7 @@
     return;
   }
   if (!request.path.starts_with(kServicePrefix)) {
-    reject(ErrorKind::kUnknownService, "no path '" + request.path + "'");
+    reject(ErrorKind::kUnknownService, "unknown path '" + request.path + "'");
     return;
   }
   if (request.method != "POST") {
--- a/packages/entry/src/operator_api.cc
+++ b/packages/entry/src/operator_api.cc
@@ -28,7 +28,7 @@
                   std::move(body)});
 }
 
-/// Reads an operator's change; `error` says what is wrong with it.
+/// Parses an operator's change; sets `error` if it is malformed.
 std::optional<ConfigRevision> ParseChange(const HttpRequest& request,
                                           std::string& error) {
   ConfigRevision change;
@@ -52,21 +52,21 @@
     return std::nullopt;
   }
   if (change.change_id.empty() || change.changes.empty()) {
-    error = "change_id and changes may not be empty";
+    error = "change_id and changes must not be empty";
     return std::nullopt;
   }
   return change;
 }
 
-/// What an operator needs to merge by hand: what stands there, and the own
-/// text.
+/// Describes a conflict with both versions of the document, so that the
+/// operator can merge them.
 std::string DescribeConflict(const ConfigApply& apply) {
   const auto text = [](const std::string& body) {
     return body.empty() ? std::string("deleted") : body;
   };
   return std::string(DocumentKindName(apply.conflicting().first)) + " '" +
          apply.conflicting().second +
-         "' was changed meanwhile; in force since revision " +
+         "' was modified concurrently; in force since revision " +
          std::to_string(apply.theirs().revision) + ": " +
          text(apply.theirs().body) + "; yours: " + text(apply.ours());
 }
@@ -84,9 +84,9 @@
   return CheckReferences("in force", documents);
 }
 
-/// Why a change can't be put in force; empty if it can. A body that no daemon
-/// can read would stand in the log for good, and its service would be gone
-/// without a word.
+/// Returns the reason for which a change is invalid; empty if it is valid. The
+/// log is append-only: a body that no daemon can parse would stay in it, and
+/// its service would disappear without an error message.
 std::string FindProblem(const ConfigRevision& change,
                         const Documents& current) {
   return leaf::try_handle_all(
@@ -206,7 +206,7 @@
       default:
         responder->Send(ProblemResponse(
             ErrorKind::kPlatformUnreachable,
-            "the change may or may not stand; apply it again with the same id",
+            "the outcome is unknown; apply the change again with the same id",
             id));
     }
   });
--- a/packages/entry/src/problem.cc
+++ b/packages/entry/src/problem.cc
@@ -26,10 +26,10 @@
   constexpr int kContentTooLarge = 413;
   if (status == kContentTooLarge) {
     return ProblemResponse(ErrorKind::kBodyTooLarge,
-                           "the body is over the limit of this daemon", "");
+                           "the body exceeds the daemon's size limit", "");
   }
   return ProblemResponse(ErrorKind::kMalformedRequest,
-                         "the request breaks HTTP", "");
+                         "the request is not valid HTTP", "");
 }
 
 }  // namespace gentianroute
--- a/packages/entry/src/report.cc
+++ b/packages/entry/src/report.cc
@@ -12,7 +12,7 @@
   return {{"total", attainment.total}, {"attained", attainment.attained}};
 }
 
-/// Why a server gets no work; empty if it does.
+/// Returns why a server is sent no calls; empty if it is.
 std::string UnavailabilityReason(const Server& server, TimePoint now) {
   if (server.leaving) {
     return "leaving";
@@ -22,7 +22,7 @@
   }
   if (now < server.ejected_until) {
     return std::to_string(server.consecutive_failures) +
-           " failures in a row, tried again in " +
+           " consecutive failures, retried in " +
            std::to_string(static_cast<std::int64_t>(
                Milliseconds(server.ejected_until - now))) +
            " ms";
