--- a/packages/platform/include/gentianroute/platform/http_platform.h
+++ b/packages/platform/include/gentianroute/platform/http_platform.h
@@ -11,8 +11,8 @@
 
 namespace gentianroute {
 
-/// @brief All three services of the platform over HTTP with JSON bodies; the
-/// protocol is in docs/PLATFORM.md.
+/// @brief Client of the platform's three services over HTTP with JSON bodies;
+/// docs/PLATFORM.md describes the protocol.
 class HttpPlatform final : public TableService,
                            public ObjectStore,
                            public HostDirectory {
@@ -36,13 +36,16 @@
   void List(std::function<void(HostListResult)> done) override;
 
  private:
+  /// Sends a call to the platform's address; calls `done` with an incomplete
+  /// result after the timeout.
   void Call(HttpCall call, std::function<void(HttpResult)> done);
   HostListResult ParseHostList(const HttpResult& result);
 
   EventLoop& loop_;
   HttpClient& client_;
   Options options_;
-  std::string host_list_etag_;  ///< ETag of the last list
+  std::string
+      host_list_etag_;  ///< ETag of the last list received; empty if none
 };
 
 }  // namespace gentianroute
--- a/packages/platform/include/gentianroute/platform/platform.h
+++ b/packages/platform/include/gentianroute/platform/platform.h
@@ -12,25 +12,29 @@
 
 namespace gentianroute {
 
-/// @brief The platform's transactional table service. One real and one fake
-/// implementation; another far end needs another adapter only.
+/// @brief Interface to the platform's transactional table service. A service
+/// with another protocol needs only another implementation.
 class TableService {
  public:
   virtual ~TableService() = default;
-  /// @brief Calls back once, at the latest after the adapter's timeout.
+  /// @brief Applies the transaction.
+  /// @param done called once, at the latest after the implementation's timeout
   virtual void Transact(TableTransaction transaction,
                         std::function<void(TransactResult)> done) = 0;
+  /// @brief Reads rows.
+  /// @param done called once, at the latest after the implementation's timeout
   virtual void Read(std::vector<TableKey> keys,
                     std::function<void(ReadResult)> done) = 0;
 };
 
-/// @brief What an object store answered.
+/// @brief Result of reading an object.
 struct ObjectResult {
-  bool answered = false;
-  std::optional<std::string> content;  ///< none: there is no such object
+  bool answered = false;  ///< false if the object store did not respond
+  std::optional<std::string> content;  ///< empty if the object doesn't exist
 };
 
-/// @brief The platform's object store; a put replaces the whole object.
+/// @brief Interface to the platform's object store. Put() replaces the whole
+/// object.
 class ObjectStore {
  public:
   virtual ~ObjectStore() = default;
@@ -41,15 +45,17 @@
                    std::function<void(bool)> done) = 0;
 };
 
-/// @brief What the list of hosts said.
+/// @brief Result of reading the host list.
 struct HostListResult {
-  bool answered = false;
-  /// False: the same as the last one that was answered; `hosts` is empty.
+  bool answered = false;  ///< false if the host list service did not respond
+  /// False if the list is the same as in the last response; `hosts` is empty
+  /// then.
   bool changed = false;
   std::vector<HostRecord> hosts;
 };
 
-/// @brief The platform's lagging list of hosts.
+/// @brief Interface to the platform's host list, which lags behind the actual
+/// state of the hosts.
 class HostDirectory {
  public:
   virtual ~HostDirectory() = default;
--- a/packages/platform/src/http_platform.cc
+++ b/packages/platform/src/http_platform.cc
@@ -52,8 +52,8 @@
   return rows;
 }
 
-/// Whether the service took the call at all; only then may a lost answer hide
-/// a write.
+/// Returns kRefused only if the service can't have applied the transaction;
+/// after a lost response it may have, which is kUnknown.
 TableStatus ToTableStatus(const HttpResult& result) {
   if (!result.complete) {
     return result.error == HttpCallError::kConnect ? TableStatus::kRefused
@@ -85,7 +85,7 @@
       parsed.conflicts = ParseRows(json::parse(result.body).at("conflicts"));
     }
   } catch (const json::exception&) {
-    return {};  // an answer that can't be read says nothing about the write
+    return {};  // a malformed response leaves the outcome unknown
   }
   return parsed;
 }
@@ -151,12 +151,12 @@
   }
   pending->timer = loop_.After(options_.timeout, [this, pending] {
     client_.Cancel(pending->call);
-    // A connection that went silent may have taken its neighbours along.
+    // The idle connections to the same address may be dead as well.
     client_.DiscardIdleConnections(options_.address, options_.port);
-    HttpResult late;
-    late.error = HttpCallError::kReset;
-    late.detail = "no answer in time";
-    std::exchange(pending->done, nullptr)(std::move(late));
+    HttpResult timed_out;
+    timed_out.error = HttpCallError::kReset;
+    timed_out.detail = "no answer in time";
+    std::exchange(pending->done, nullptr)(std::move(timed_out));
   });
 }
 
--- a/packages/platform/tests/http_platform_test.cc
+++ b/packages/platform/tests/http_platform_test.cc
@@ -23,14 +23,15 @@
 
 namespace {
 
-/// Answers every call at once with what the test has set.
+/// Answers each call immediately with the response or error that the test has
+/// set.
 class FakeClient final : public HttpClient {
  public:
   HttpCallId Call(HttpCall call,
                   std::unique_ptr<HttpCallObserver> observer) override {
     last_call_ = std::move(call);
     if (error_.has_value()) {
-      observer->OnError(*error_, "as the test says");
+      observer->OnError(*error_, "error set by the test");
       return HttpCallId{1};
     }
     observer->OnHead(status_, headers_);
@@ -70,8 +71,8 @@
 
 }  // namespace
 
-// A claim whose write was lost is read back; one that was refused is not. The
-// adapter must never call a write refused that the service may have taken.
+// Guards against reporting a write as refused although the service may have
+// applied it: a claim is read back only if the outcome of its write is unknown.
 Test(http_platform, transact_when_connection_breaks_after_writing_is_unknown) {
   Fixture fixture;
   fixture.client_.error_ = HttpCallError::kReset;
@@ -82,7 +83,7 @@
   cr_assert(fixture.Transact() == TableStatus::kRefused);
 }
 
-Test(http_platform, transact_with_unreadable_answer_is_unknown) {
+Test(http_platform, transact_with_malformed_answer_is_unknown) {
   Fixture fixture;
   fixture.client_.body_ = "<html>";
   cr_assert(fixture.Transact() == TableStatus::kUnknown);
@@ -96,7 +97,7 @@
   cr_assert(fixture.Transact() == TableStatus::kRefused);
 }
 
-Test(http_platform, transact_with_failed_condition_brings_present_row) {
+Test(http_platform, transact_with_failed_condition_returns_current_row) {
   Fixture fixture;
   fixture.client_.status_ = 409;
   fixture.client_.body_ =
@@ -108,7 +109,7 @@
   cr_assert_eq(got.conflicts.at(0).version, 7U);
 }
 
-Test(http_platform, read_without_answer_says_nothing_about_rows) {
+Test(http_platform, read_without_answer_is_not_answered) {
   Fixture fixture;
   fixture.client_.error_ = HttpCallError::kReset;
   bool answered = true;
@@ -117,7 +118,7 @@
   cr_assert_not(answered);
 }
 
-Test(http_platform, host_list_seen_before_is_asked_for_by_its_tag) {
+Test(http_platform, host_list_seen_before_is_requested_with_its_etag) {
   Fixture fixture;
   fixture.client_.headers_ = {{"etag", "\"5\""}};
   fixture.client_.body_ = R"({"hosts":[]})";
@@ -131,7 +132,7 @@
             "\"5\"");
 }
 
-Test(http_platform, host_list_that_cannot_be_read_is_no_answer) {
+Test(http_platform, malformed_host_list_is_not_answered) {
   Fixture fixture;
   fixture.client_.body_ = R"({"hosts":[{"name":"half"}]})";
   cr_assert_not(fixture.List().answered);
