--- a/packages/entry/src/operator_api.cc
+++ b/packages/entry/src/operator_api.cc
@@ -84,9 +84,9 @@
   return CheckReferences("in force", documents);
 }
 
-/// Returns the reason for which a change is invalid; empty if it is valid. The
-/// log is append-only: a body that no daemon can parse would stay in it, and
-/// its service would disappear without an error message.
+/// Returns why a change is invalid; empty if it is valid. A body that no daemon
+/// can parse would stay in the log, and its service would disappear without an
+/// error message.
 std::string FindProblem(const ConfigRevision& change,
                         const Documents& current) {
   return leaf::try_handle_all(
