--- a/packages/entry/include/gentianroute/entry/peer_revisions.h
+++ b/packages/entry/include/gentianroute/entry/peer_revisions.h
@@ -22,7 +22,7 @@
   /// @param started time at which this daemon started to listen
   explicit PeerRevisions(TimePoint started) : started_(started) {}
 
-  /// @brief Adds a peer that is in the host list.
+  /// @brief Adds a peer from the host list or the seeds.
   void AddListed(std::string_view peer, std::string_view data_centre);
   /// @brief Removes the peers that were not passed to AddListed() since the
   /// last call of this function.
--- a/packages/entry/include/gentianroute/entry/peer_service.h
+++ b/packages/entry/include/gentianroute/entry/peer_service.h
@@ -51,7 +51,8 @@
               HostsCallback on_hosts_received,
               std::function<void()> request_advance);
 
-  /// @brief Sets the links to the peers; to be called once, before all others.
+  /// @brief Sets the links to the peers; to be called once, before any
+  /// other function.
   void SetLinks(PeerLinks& links) { links_ = &links; }
   /// @brief Sets the current host list, which peers may request.
   void SetHosts(const std::vector<HostRecord>& hosts);
--- a/packages/entry/src/caller_api.cc
+++ b/packages/entry/src/caller_api.cc
@@ -27,7 +27,7 @@
 // when the timeout is added to a time.
 constexpr std::int64_t kMaxTimeoutMs = 24 * 60 * 60 * 1000;
 
-/// Reason for which a request is rejected.
+/// Why a request is rejected.
 struct RequestError {
   ErrorKind kind;
   std::string detail;
@@ -86,8 +86,8 @@
 }
 
 /// Returns the trace context to propagate, or an empty string if it is invalid.
-/// The W3C Trace Context standard requires to ignore an invalid one, which
-/// could also be used for header injection, as in CheckKey().
+/// The W3C Trace Context standard requires an invalid one to be ignored; it
+/// could also be used for header injection, see CheckKey().
 std::string_view ReadTraceParent(const HttpRequest& request) {
   const std::string_view text = FindHeader(request.headers, "traceparent");
   const bool valid =
--- a/packages/entry/src/daemon.cc
+++ b/packages/entry/src/daemon.cc
@@ -253,8 +253,8 @@
   ApplyEntryHosts(entries);
   order_sync_.SetHosts(backends);
   servers_.ApplyHostList(loop_.Now(), backends);
-  for (const auto& gone : leaving_news_.OnHostList(loop_.Now(), backends)) {
-    servers_.RemoveLeaving(gone.server, gone.incarnation);
+  for (const auto& removed : leaving_news_.OnHostList(loop_.Now(), backends)) {
+    servers_.RemoveLeaving(removed.server, removed.incarnation);
   }
   peer_service_.AnnounceLeaving();
   coordinator_.OnServersChanged(loop_.Now());
@@ -266,14 +266,14 @@
   const std::string_view own_data_centre =
       settings_.get().getDataCentre().cStr();
   std::vector<PeerAddress> peers = seeds_;
-  std::vector<std::string> neighbours;
+  std::vector<std::string> local_daemons;
   std::vector<std::string> daemons;
   for (const HostRecord& host : entries) {
     if (!host.leaving) {
       daemons.push_back(host.name);
     }
     if (!host.leaving && host.data_centre == own_data_centre) {
-      neighbours.push_back(host.name);
+      local_daemons.push_back(host.name);
     }
     std::erase_if(peers, [&host](const PeerAddress& peer) {
       return peer.name == host.name;
@@ -287,7 +287,7 @@
   }
   peer_revisions_.RemoveUnlisted();
   peer_links_->SetPeers(std::move(peers));
-  poll_schedule_.SetPeers(neighbours);
+  poll_schedule_.SetPeers(local_daemons);
   order_sync_.SetDaemons(std::move(daemons));
 }
 
--- a/packages/entry/src/operator_api.cc
+++ b/packages/entry/src/operator_api.cc
@@ -121,13 +121,13 @@
 void OperatorApi::OnRequest(const HttpRequest& request,
                             const std::shared_ptr<HttpResponder>& responder) {
   bool path_known = false;
-  for (const RouteEntry& row : kRoutes) {
-    if (row.path != request.path) {
+  for (const RouteEntry& entry : kRoutes) {
+    if (entry.path != request.path) {
       continue;
     }
     path_known = true;
-    if (row.method == request.method) {
-      (this->*row.route)(request, responder);
+    if (entry.method == request.method) {
+      (this->*entry.route)(request, responder);
       return;
     }
   }
