--- a/apps/gentianctl/apply.cc
+++ b/apps/gentianctl/apply.cc
@@ -1,22 +1,22 @@
 #include "commands.h"
+#include "prepared_plan.h"
 #include "submit.h"
-#include "wanted.h"
 
 namespace gentianroute::ctl {
 
 ExitCode Apply(const CommonOptions& common, const ApplyOptions& options) {
-  return Guarded(common.json, [&]() -> leaf::result<ExitCode> {
-    BOOST_LEAF_AUTO(wanted, ReadWanted(common, options));
+  return RunCommand(common.json, [&]() -> leaf::result<ExitCode> {
+    BOOST_LEAF_AUTO(prepared, PreparePlan(common, options));
     if (options.base >= 0) {
       BOOST_LEAF_AUTO(history, GetHistory(common.daemon));
       // A change that stands already is settled, whatever came after it.
-      if (RevisionOfChange(history, options.change.change_id) == 0) {
-        BOOST_LEAF_CHECK(CheckBase(wanted.plan, wanted.in_force.documents,
-                                   history,
-                                   static_cast<std::uint64_t>(options.base)));
+      if (FindRevisionByChangeId(history, options.change.change_id) == 0) {
+        BOOST_LEAF_CHECK(CheckBaseRevision(
+            prepared.plan, prepared.current.documents, history,
+            static_cast<std::uint64_t>(options.base)));
       }
     }
-    return Submit(common, wanted.plan, wanted.in_force, options.change);
+    return Submit(common, prepared.plan, prepared.current, options.change);
   });
 }
 
--- a/apps/gentianctl/change_plan.h
+++ b/apps/gentianctl/change_plan.h
@@ -24,26 +24,26 @@
 /// are equal are left out, so that nothing new makes no new revision.
 /// @param wanted documents to be in force
 /// @param deleted documents to be deleted, unless they are wanted
-ChangePlan PlanChanges(const Documents& in_force,
-                       const Documents& wanted,
+ChangePlan PlanChanges(const Documents& current,
+                       const Documents& desired,
                        const std::set<DocumentName>& deleted);
 
 /// @brief Names of documents in force that are not wanted.
-std::set<DocumentName> NotNamed(const Documents& in_force,
-                                const Documents& wanted);
+std::set<DocumentName> FindRemovedDocuments(const Documents& current,
+                                            const Documents& desired);
 
 /// @brief Checks that what would be in force names only what is declared.
 /// @return SchemaError
-leaf::result<void> CheckPlan(const Documents& in_force,
+leaf::result<void> CheckPlan(const Documents& current,
                              const ChangePlan& plan,
                              const Origins& origins);
 
 /// @brief Documents of the plan that somebody changed after a revision.
 /// @return Failure with kExitConflict, which shows both sides
-leaf::result<void> CheckBase(const ChangePlan& plan,
-                             const Documents& in_force,
-                             const std::vector<ConfigRevision>& history,
-                             std::uint64_t base_revision);
+leaf::result<void> CheckBaseRevision(const ChangePlan& plan,
+                                     const Documents& current,
+                                     const std::vector<ConfigRevision>& history,
+                                     std::uint64_t base_revision);
 
 /// @brief The plan for a person: each field before and after.
 std::string PlanText(const ChangePlan& plan);
--- a/apps/gentianctl/commands.h
+++ b/apps/gentianctl/commands.h
@@ -12,9 +12,9 @@
 
 /// @brief What all commands share.
 struct CommonOptions {
-  Target daemon;
-  std::vector<Target> also;  ///< more daemons
-  bool json = false;         ///< --output json
+  DaemonAddress daemon;
+  std::vector<DaemonAddress> other_daemons;  ///< more daemons
+  bool json = false;                         ///< --output json
 };
 
 /// @brief How a change is submitted.
@@ -50,7 +50,7 @@
 ExitCode Explain(const CommonOptions& common,
                  const std::string& request,
                  const std::vector<std::string>& files);
-ExitCode Reference(const CommonOptions& common, const std::string& of);
+ExitCode Reference(const CommonOptions& common, const std::string& table);
 
 }  // namespace gentianroute::ctl
 
--- a/apps/gentianctl/configuration.cc
+++ b/apps/gentianctl/configuration.cc
@@ -8,19 +8,19 @@
 
 constexpr UnixMicros kMicrosPerSecond = 1'000'000;
 
-DocumentName NameOf(const json& value) {
+DocumentName ParseDocumentName(const json& value) {
   const auto kind = DocumentKindFromName(value.at("kind").get<std::string>());
   return {kind.value_or(DocumentKind::kProfile), value.at("name")};
 }
 
-ConfigRevision RevisionOf(const json& value) {
+ConfigRevision ParseRevision(const json& value) {
   ConfigRevision revision;
   revision.revision = value.at("revision");
   revision.change_id = value.at("change_id");
   revision.author = value.at("author");
   revision.applied_at = value.at("unix_micros");
   for (const json& item : value.at("changes")) {
-    const DocumentName name = NameOf(item);
+    const DocumentName name = ParseDocumentName(item);
     revision.changes.push_back(
         {name.first, name.second, item.at("body"), item.at("base_revision")});
   }
@@ -28,8 +28,8 @@
 }
 
 /// The change of one document in one revision.
-const DocumentChange* ChangeIn(const ConfigRevision& revision,
-                               const DocumentName& name) {
+const DocumentChange* FindChange(const ConfigRevision& revision,
+                                 const DocumentName& name) {
   for (const DocumentChange& change : revision.changes) {
     if (change.FullName() == name) {
       return &change;
@@ -39,18 +39,19 @@
 }
 
 /// The document as written by one revision of the history.
-const DocumentChange* WrittenBy(const std::vector<ConfigRevision>& history,
-                                std::uint64_t number,
-                                const DocumentName& name) {
+const DocumentChange* FindChangeAtRevision(
+    const std::vector<ConfigRevision>& history,
+    std::uint64_t number,
+    const DocumentName& name) {
   for (const ConfigRevision& revision : history) {
     if (revision.revision == number) {
-      return ChangeIn(revision, name);
+      return FindChange(revision, name);
     }
   }
   return nullptr;
 }
 
-Failure TooOld(std::uint64_t revision) {
+Failure HistoryTooShort(std::uint64_t revision) {
   return {kExitInvalid,
           "the daemon does not keep enough of the history to "
           "tell what stood at revision " +
@@ -76,19 +77,21 @@
   return DocumentName{*kind, text.substr(slash + 1)};
 }
 
-leaf::result<Declared> ReadDeclared(const std::vector<std::string>& files) {
-  Declared declared;
+leaf::result<DeclaredDocuments> ReadDeclarations(
+    const std::vector<std::string>& files) {
+  DeclaredDocuments declared;
   for (const std::string& file : files) {
     BOOST_LEAF_AUTO(text, ReadFile(file));
     Origins origins;
     BOOST_LEAF_AUTO(documents, ParseDeclarations(file, text, origins));
     for (const auto& [name, document] : documents) {
-      const auto earlier = declared.origins.find(name);
-      if (earlier != declared.origins.end()) {
-        return leaf::new_error(SchemaError{
-            file, origins[name].path + ".name",
-            "'" + name.second + "', which " + earlier->second.file + " has too",
-            "a name that stands once in all files"});
+      const auto duplicate = declared.origins.find(name);
+      if (duplicate != declared.origins.end()) {
+        return leaf::new_error(
+            SchemaError{file, origins[name].path + ".name",
+                        "'" + name.second + "', which " +
+                            duplicate->second.file + " has too",
+                        "a name that stands once in all files"});
       }
       declared.documents[name] = document;
       declared.origins[name] = origins[name];
@@ -97,38 +100,39 @@
   return declared;
 }
 
-leaf::result<InForce> GetInForce(const Target& target) {
-  BOOST_LEAF_AUTO(value, Get(target, "/v1/documents"));
-  InForce in_force;
-  in_force.revision = value.at("revision");
+leaf::result<CurrentConfig> GetCurrentConfig(const DaemonAddress& daemon) {
+  BOOST_LEAF_AUTO(value, GetJson(daemon, "/v1/documents"));
+  CurrentConfig current;
+  current.revision = value.at("revision");
   for (const json& item : value.at("documents")) {
-    in_force.documents[NameOf(item)] = {item.at("body").dump(),
-                                        item.at("revision")};
+    current.documents[ParseDocumentName(item)] = {item.at("body").dump(),
+                                                  item.at("revision")};
   }
-  return in_force;
+  return current;
 }
 
-leaf::result<std::vector<ConfigRevision>> GetHistory(const Target& target) {
-  BOOST_LEAF_AUTO(value, Get(target, "/v1/history"));
+leaf::result<std::vector<ConfigRevision>> GetHistory(
+    const DaemonAddress& daemon) {
+  BOOST_LEAF_AUTO(value, GetJson(daemon, "/v1/history"));
   std::vector<ConfigRevision> history;
   for (const json& item : value.at("revisions")) {
-    history.push_back(RevisionOf(item));
+    history.push_back(ParseRevision(item));
   }
   return history;
 }
 
-leaf::result<Documents> DocumentsAt(const std::vector<ConfigRevision>& history,
-                                    const InForce& in_force,
-                                    std::uint64_t revision) {
-  if (revision > in_force.revision) {
-    return leaf::new_error(
-        Failure{kExitInvalid, "there is no revision " +
-                                  std::to_string(revision) + "; the last is " +
-                                  std::to_string(in_force.revision)});
+leaf::result<Documents> RestoreDocuments(
+    const std::vector<ConfigRevision>& history,
+    const CurrentConfig& current,
+    std::uint64_t revision) {
+  if (revision > current.revision) {
+    return leaf::new_error(Failure{
+        kExitInvalid, "there is no revision " + std::to_string(revision) +
+                          "; the last is " + std::to_string(current.revision)});
   }
-  Documents documents = in_force.documents;
+  Documents documents = current.documents;
   // Newest first, each change is undone: what its author saw comes back.
-  std::uint64_t reached = in_force.revision;
+  std::uint64_t reached = current.revision;
   for (auto undone = history.rbegin();
        undone != history.rend() && undone->revision > revision; ++undone) {
     for (const DocumentChange& change : undone->changes) {
@@ -136,39 +140,40 @@
       if (change.base_revision == 0) {
         continue;
       }
-      const DocumentChange* before =
-          WrittenBy(history, change.base_revision, change.FullName());
-      if (before != nullptr) {
-        documents[change.FullName()] = {before->body, change.base_revision};
+      const DocumentChange* previous = FindChangeAtRevision(
+          history, change.base_revision, change.FullName());
+      if (previous != nullptr) {
+        documents[change.FullName()] = {previous->body, change.base_revision};
       } else if (change.base_revision <= revision) {
-        return leaf::new_error(TooOld(revision));
+        return leaf::new_error(HistoryTooShort(revision));
       }
     }
     reached = undone->revision - 1;
   }
   if (reached != revision) {
-    return leaf::new_error(TooOld(revision));
+    return leaf::new_error(HistoryTooShort(revision));
   }
   return documents;
 }
 
-const ConfigRevision* LastChangeOf(const std::vector<ConfigRevision>& history,
-                                   const DocumentName& name) {
+const ConfigRevision* FindLastRevisionOf(
+    const std::vector<ConfigRevision>& history,
+    const DocumentName& name) {
   for (auto revision = history.rbegin(); revision != history.rend();
        ++revision) {
-    if (ChangeIn(*revision, name) != nullptr) {
+    if (FindChange(*revision, name) != nullptr) {
       return &*revision;
     }
   }
   return nullptr;
 }
 
-std::string TimeText(UnixMicros time) {
-  constexpr std::size_t kLongest = 32;
+std::string FormatTime(UnixMicros time) {
+  constexpr std::size_t kMaxLength = 32;
   const std::time_t seconds = time / kMicrosPerSecond;
   std::tm parts{};
   gmtime_r(&seconds, &parts);
-  std::array<char, kLongest> text{};
+  std::array<char, kMaxLength> text{};
   const std::size_t size =
       std::strftime(text.data(), text.size(), "%Y-%m-%d %H:%M:%SZ", &parts);
   return {text.data(), size};
--- a/apps/gentianctl/daemon_client.cc
+++ b/apps/gentianctl/daemon_client.cc
@@ -14,42 +14,42 @@
 
 }  // namespace
 
-leaf::result<Target> ParseTarget(const std::string& text) {
-  Target target;
+leaf::result<DaemonAddress> ParseDaemonAddress(const std::string& text) {
+  DaemonAddress daemon;
   const std::size_t colon = text.rfind(':');
   const std::size_t digits = colon == std::string::npos ? 0 : colon + 1;
   const char* const end = text.data() + text.size();
-  const auto parsed = std::from_chars(text.data() + digits, end, target.port);
+  const auto parsed = std::from_chars(text.data() + digits, end, daemon.port);
   const bool valid = colon != std::string::npos && colon > 0 &&
                      parsed.ec == std::errc() && parsed.ptr == end &&
-                     target.port != 0;
+                     daemon.port != 0;
   if (!valid) {
     return leaf::new_error(
         Failure{kExitInvalid, "found '" + text + "'; allowed: address:port"});
   }
-  target.address = text.substr(0, colon);
-  return target;
+  daemon.address = text.substr(0, colon);
+  return daemon;
 }
 
-HttpResult Call(const Target& target,
-                std::string method,
-                std::string path,
-                std::string body) {
+HttpResult CallDaemon(const DaemonAddress& daemon,
+                      std::string method,
+                      std::string path,
+                      std::string body) {
   HttpResult result;
   result.detail = "no answer in time";
   EventLoop loop;
   H2oHttpClient client(loop);
   HttpCall call;
-  call.address = target.address;
-  call.port = target.port;
+  call.address = daemon.address;
+  call.port = daemon.port;
   call.method = std::move(method);
   call.path = std::move(path);
   call.headers = {{"content-type", "application/json"}};
   call.body = std::move(body);
   const TimerId timer = loop.After(kCallTimeout, [&loop] { loop.Stop(); });
   loop.After(Duration{0}, [&] {
-    client.Call(std::move(call), CollectResponse([&](HttpResult answer) {
-                  result = std::move(answer);
+    client.Call(std::move(call), CollectResponse([&](HttpResult response) {
+                  result = std::move(response);
                   loop.Stop();
                 }));
   });
@@ -68,16 +68,17 @@
          body.value("kind", "") + ")";
 }
 
-leaf::result<json> Get(const Target& target, const std::string& path) {
-  const HttpResult result = Call(target, "GET", path, {});
+leaf::result<json> GetJson(const DaemonAddress& daemon,
+                           const std::string& path) {
+  const HttpResult result = CallDaemon(daemon, "GET", path, {});
   if (!result.complete) {
     return leaf::new_error(Failure{
-        kExitUnreachable, target.Text() + " did not answer: " + result.detail});
+        kExitUnreachable, daemon.Text() + " did not answer: " + result.detail});
   }
   json body = json::parse(result.body, nullptr, false);
   if (result.status != kOk || body.is_discarded()) {
     return leaf::new_error(
-        Failure{kExitFailed, target.Text() + ": " + ProblemText(result)});
+        Failure{kExitFailed, daemon.Text() + ": " + ProblemText(result)});
   }
   return body;
 }
--- a/apps/gentianctl/daemon_client.h
+++ b/apps/gentianctl/daemon_client.h
@@ -10,7 +10,7 @@
 namespace gentianroute::ctl {
 
 /// @brief One daemon's operators' address.
-struct Target {
+struct DaemonAddress {
   std::string address = "127.0.0.1";
   std::uint16_t port = 0;
 
@@ -19,18 +19,19 @@
 
 /// @brief Reads `address:port`.
 /// @return Failure with kExitInvalid
-leaf::result<Target> ParseTarget(const std::string& text);
+leaf::result<DaemonAddress> ParseDaemonAddress(const std::string& text);
 
 /// @brief Asks one daemon and waits for the answer, at most ten seconds.
 /// @return `whole` is false if no whole answer came in time
-HttpResult Call(const Target& target,
-                std::string method,
-                std::string path,
-                std::string body);
+HttpResult CallDaemon(const DaemonAddress& daemon,
+                      std::string method,
+                      std::string path,
+                      std::string body);
 
 /// @brief Reads one path of a daemon.
 /// @return Failure with kExitUnreachable, or kExitFailed for any status but 200
-leaf::result<json> Get(const Target& target, const std::string& path);
+leaf::result<json> GetJson(const DaemonAddress& daemon,
+                           const std::string& path);
 
 /// @brief What a daemon's problem+json says, for a person.
 std::string ProblemText(const HttpResult& result);
--- a/apps/gentianctl/diff.cc
+++ b/apps/gentianctl/diff.cc
@@ -1,16 +1,16 @@
 #include "commands.h"
-#include "wanted.h"
+#include "prepared_plan.h"
 
 namespace gentianroute::ctl {
 
 ExitCode Diff(const CommonOptions& common, const ApplyOptions& options) {
-  return Guarded(common.json, [&]() -> leaf::result<ExitCode> {
-    BOOST_LEAF_AUTO(wanted, ReadWanted(common, options));
+  return RunCommand(common.json, [&]() -> leaf::result<ExitCode> {
+    BOOST_LEAF_AUTO(prepared, PreparePlan(common, options));
     Print(common.json,
-          {{"revision", wanted.in_force.revision},
-           {"changes", PlanJson(wanted.plan)}},
-          PlanText(wanted.plan));
-    return wanted.plan.empty() ? kExitDone : kExitDiffers;
+          {{"revision", prepared.current.revision},
+           {"changes", PlanJson(prepared.plan)}},
+          PlanText(prepared.plan));
+    return prepared.plan.empty() ? kExitSuccess : kExitDiffers;
   });
 }
 
--- a/apps/gentianctl/drain.cc
+++ b/apps/gentianctl/drain.cc
@@ -3,9 +3,10 @@
 namespace gentianroute::ctl {
 
 ExitCode Drain(const CommonOptions& common) {
-  return Guarded(common.json, [&]() -> leaf::result<ExitCode> {
+  return RunCommand(common.json, [&]() -> leaf::result<ExitCode> {
     constexpr int kAccepted = 202;
-    const HttpResult result = Call(common.daemon, "POST", "/v1/drain", {});
+    const HttpResult result =
+        CallDaemon(common.daemon, "POST", "/v1/drain", {});
     if (!result.complete) {
       return leaf::new_error(
           Failure{kExitUnreachable,
@@ -18,7 +19,7 @@
           common.daemon.Text() +
               " finishes what it has taken, then stops; requests that run are "
               "not cut off\n");
-    return kExitDone;
+    return kExitSuccess;
   });
 }
 
--- a/apps/gentianctl/exit_code.h
+++ b/apps/gentianctl/exit_code.h
@@ -5,7 +5,7 @@
 
 /// @brief What gentianctl exits with; documented in docs/OPERATING.md.
 enum ExitCode : int {
-  kExitDone = 0,
+  kExitSuccess = 0,
   kExitFailed = 1,       ///< the daemon refused, or made a mistake
   kExitInvalid = 2,      ///< a file or an argument has an error
   kExitConflict = 3,     ///< somebody else changed the same document
--- a/apps/gentianctl/explain.cc
+++ b/apps/gentianctl/explain.cc
@@ -19,29 +19,29 @@
   }
 }
 
-std::string TextOf(const RequestDiagnosis& story) {
+std::string DiagnosisText(const RequestDiagnosis& diagnosis) {
   std::string text;
-  for (std::size_t i = 0; i < story.steps.size(); ++i) {
-    text += i == story.decisive ? "> " : "  ";
-    text += story.steps[i].source + " " + story.steps[i].text + "\n";
+  for (std::size_t i = 0; i < diagnosis.steps.size(); ++i) {
+    text += i == diagnosis.decisive ? "> " : "  ";
+    text += diagnosis.steps[i].source + " " + diagnosis.steps[i].text + "\n";
   }
-  text += "cause: " + story.cause + "\n";
-  for (const std::string& missing : story.missing) {
+  text += "cause: " + diagnosis.cause + "\n";
+  for (const std::string& missing : diagnosis.missing) {
     text += "missing: " + missing + "\n";
   }
   return text;
 }
 
-nlohmann::json JsonOf(const RequestDiagnosis& story) {
+nlohmann::json DiagnosisJson(const RequestDiagnosis& diagnosis) {
   nlohmann::json steps = nlohmann::json::array();
-  for (const ParsedLogLine& step : story.steps) {
+  for (const ParsedLogLine& step : diagnosis.steps) {
     steps.push_back({{"source", step.source}, {"line", step.text}});
   }
   nlohmann::json json = {{"steps", std::move(steps)},
-                         {"cause", story.cause},
-                         {"missing", story.missing}};
-  if (!story.steps.empty()) {
-    json["decisive"] = story.decisive;
+                         {"cause", diagnosis.cause},
+                         {"missing", diagnosis.missing}};
+  if (!diagnosis.steps.empty()) {
+    json["decisive"] = diagnosis.decisive;
   }
   return json;
 }
@@ -63,9 +63,9 @@
   if (files.empty()) {
     ReadLines(std::cin, "", timeline);
   }
-  const RequestDiagnosis story = timeline.Diagnose();
-  Print(common.json, JsonOf(story), TextOf(story));
-  return story.steps.empty() ? kExitFailed : kExitDone;
+  const RequestDiagnosis diagnosis = timeline.Diagnose();
+  Print(common.json, DiagnosisJson(diagnosis), DiagnosisText(diagnosis));
+  return diagnosis.steps.empty() ? kExitFailed : kExitSuccess;
 }
 
 }  // namespace gentianroute::ctl
--- a/apps/gentianctl/failure.h
+++ b/apps/gentianctl/failure.h
@@ -31,7 +31,7 @@
 /// exit code.
 /// @param body returns leaf::result<ExitCode>
 template <typename Body>
-ExitCode Guarded(bool as_json, Body body) {
+ExitCode RunCommand(bool as_json, Body body) {
   return leaf::try_handle_all(
       body,
       [as_json](const Failure& failure) {
--- a/apps/gentianctl/get.cc
+++ b/apps/gentianctl/get.cc
@@ -4,14 +4,14 @@
 namespace gentianroute::ctl {
 
 ExitCode GetDocument(const CommonOptions& common, const std::string& name) {
-  return Guarded(common.json, [&]() -> leaf::result<ExitCode> {
+  return RunCommand(common.json, [&]() -> leaf::result<ExitCode> {
     BOOST_LEAF_AUTO(full_name, ParseFullName(name));
-    BOOST_LEAF_AUTO(in_force, GetInForce(common.daemon));
-    const auto found = in_force.documents.find(full_name);
-    if (found == in_force.documents.end()) {
+    BOOST_LEAF_AUTO(current, GetCurrentConfig(common.daemon));
+    const auto found = current.documents.find(full_name);
+    if (found == current.documents.end()) {
       return leaf::new_error(
           Failure{kExitFailed, name + " is not in force at revision " +
-                                   std::to_string(in_force.revision)});
+                                   std::to_string(current.revision)});
     }
     const json body = json::parse(found->second.body);
     const std::uint64_t revision = found->second.revision;
@@ -19,7 +19,7 @@
           {{"document", name}, {"revision", revision}, {"body", body}},
           "// " + name + ", written by revision " + std::to_string(revision) +
               "\n" + body.dump(2) + "\n");
-    return kExitDone;
+    return kExitSuccess;
   });
 }
 
--- a/apps/gentianctl/history.cc
+++ b/apps/gentianctl/history.cc
@@ -4,13 +4,13 @@
 namespace gentianroute::ctl {
 
 ExitCode History(const CommonOptions& common) {
-  return Guarded(common.json, [&]() -> leaf::result<ExitCode> {
-    BOOST_LEAF_AUTO(value, Get(common.daemon, "/v1/history"));
+  return RunCommand(common.json, [&]() -> leaf::result<ExitCode> {
+    BOOST_LEAF_AUTO(value, GetJson(common.daemon, "/v1/history"));
     BOOST_LEAF_AUTO(history, GetHistory(common.daemon));
     std::string text;
     for (const ConfigRevision& revision : history) {
       text += "revision " + std::to_string(revision.revision) + "  " +
-              TimeText(revision.applied_at) + "  " + revision.author + "  " +
+              FormatTime(revision.applied_at) + "  " + revision.author + "  " +
               revision.change_id + "\n";
       for (const DocumentChange& change : revision.changes) {
         text += std::string(change.body.empty() ? "  deleted " : "  wrote ") +
@@ -18,7 +18,7 @@
       }
     }
     Print(common.json, value, text);
-    return kExitDone;
+    return kExitSuccess;
   });
 }
 
--- a/apps/gentianctl/main.cc
+++ b/apps/gentianctl/main.cc
@@ -17,11 +17,11 @@
 struct Arguments {
   ctl::CommonOptions common;
   std::string output = "text";
-  std::vector<std::string> also;
+  std::vector<std::string> other_addresses;
   ctl::ApplyOptions apply;
   std::uint64_t revision = 0;
   std::string document;
-  std::string reference_of;
+  std::string reference_table;
   std::string html_file;
   std::string request;
   std::vector<std::string> logs;
@@ -36,7 +36,7 @@
   ctl::CommonOptions& common = arguments.common;
   app.add_option("--address", common.daemon.address, "a daemon's IP number");
   app.add_option("--port", common.daemon.port, "its operators' port");
-  app.add_option("--also", arguments.also,
+  app.add_option("--also", arguments.other_addresses,
                  "one more daemon, address:port; may stand several times");
   app.add_option("--output", arguments.output, "text or json")
       ->check(CLI::IsMember({"text", "json"}));
@@ -56,7 +56,7 @@
 }
 
 void AddChangeOptions(CLI::App& command, Arguments& arguments) {
-  constexpr std::uint32_t kLongestWait = 3600;
+  constexpr std::uint32_t kMaxWaitSeconds = 3600;
   ctl::ChangeOptions& change = arguments.apply.change;
   command.add_option("--author", change.author, "who changes it");
   command.add_option("--change-id", change.change_id,
@@ -64,16 +64,16 @@
   command
       .add_option("--wait", change.wait_s,
                   "seconds to wait until every reachable daemon has it")
-      ->check(CLI::Range(1U, kLongestWait));
+      ->check(CLI::Range(1U, kMaxWaitSeconds));
 }
 
 using Command = std::function<ctl::ExitCode(const Arguments&)>;
 
 /// Declares all commands; the one that was given is left in `chosen`.
-void AddCommands(CLI::App& app, Arguments& arguments, Command& chosen) {
-  const auto add = [&](const char* name, const char* about, Command run) {
-    CLI::App* command = app.add_subcommand(name, about);
-    command->callback([&chosen, run = std::move(run)] { chosen = run; });
+void AddCommands(CLI::App& app, Arguments& arguments, Command& selected) {
+  const auto add = [&](const char* name, const char* description, Command run) {
+    CLI::App* command = app.add_subcommand(name, description);
+    command->callback([&selected, run = std::move(run)] { selected = run; });
     return command;
   };
   AddFiles(*add("validate", "check profile files, without a daemon",
@@ -123,9 +123,9 @@
                       "logs of any number of daemons; none: standard input");
   add("reference", "print the table of all fields",
       [](const Arguments& a) {
-        return ctl::Reference(a.common, a.reference_of);
+        return ctl::Reference(a.common, a.reference_table);
       })
-      ->add_option("of", arguments.reference_of)
+      ->add_option("of", arguments.reference_table)
       ->check(CLI::IsMember({"settings", "profiles", "errors"}))
       ->required();
 }
@@ -139,25 +139,26 @@
   app.set_version_flag("--version", "gentianctl 0.1.0");
   Arguments arguments;
   arguments.apply.change.author = DefaultAuthor();
-  Command chosen;
+  Command selected;
   AddCommonOptions(app, arguments);
-  AddCommands(app, arguments, chosen);
+  AddCommands(app, arguments, selected);
   try {
     app.parse(argc, argv);
   } catch (const CLI::ParseError& error) {
     const int code = app.exit(error);
-    return code == 0 ? ctl::kExitDone : ctl::kExitInvalid;
+    return code == 0 ? ctl::kExitSuccess : ctl::kExitInvalid;
   }
   arguments.common.json = arguments.output == "json";
-  return ctl::Guarded(arguments.common.json,
-                      [&]() -> gentianroute::leaf::result<ctl::ExitCode> {
-                        // Before anything is sent: a change must not be made
-                        // and then not be waited for because of a mistyped
-                        // address.
-                        for (const std::string& text : arguments.also) {
-                          BOOST_LEAF_AUTO(target, ctl::ParseTarget(text));
-                          arguments.common.also.push_back(target);
-                        }
-                        return chosen(arguments);
-                      });
+  return ctl::RunCommand(
+      arguments.common.json,
+      [&]() -> gentianroute::leaf::result<ctl::ExitCode> {
+        // Before anything is sent: a change must not be made
+        // and then not be waited for because of a mistyped
+        // address.
+        for (const std::string& text : arguments.other_addresses) {
+          BOOST_LEAF_AUTO(daemon, ctl::ParseDaemonAddress(text));
+          arguments.common.other_daemons.push_back(daemon);
+        }
+        return selected(arguments);
+      });
 }
--- a/apps/gentianctl/reference.cc
+++ b/apps/gentianctl/reference.cc
@@ -8,23 +8,23 @@
 
 namespace {
 
-struct Row {
-  std::string_view of;
-  std::string (*table)();
+struct ReferenceTable {
+  std::string_view name;
+  std::string (*render)();
 };
 
-constexpr Row kTables[] = {{"settings", &SettingsReference},
-                           {"profiles", &ProfilesReference},
-                           {"errors", &ErrorsReference}};
+constexpr ReferenceTable kTables[] = {{"settings", &SettingsReference},
+                                      {"profiles", &ProfilesReference},
+                                      {"errors", &ErrorsReference}};
 
 }  // namespace
 
-ExitCode Reference(const CommonOptions& common, const std::string& of) {
-  for (const Row& row : kTables) {
-    if (row.of == of) {
-      const std::string table = row.table();
-      Print(common.json, {{"of", of}, {"markdown", table}}, table);
-      return kExitDone;
+ExitCode Reference(const CommonOptions& common, const std::string& table) {
+  for (const ReferenceTable& entry : kTables) {
+    if (entry.name == table) {
+      const std::string markdown = entry.render();
+      Print(common.json, {{"of", table}, {"markdown", markdown}}, markdown);
+      return kExitSuccess;
     }
   }
   return kExitInvalid;
--- a/apps/gentianctl/report.cc
+++ b/apps/gentianctl/report.cc
@@ -8,18 +8,19 @@
 namespace {
 
 /// Reads what can be read; a daemon that does not answer is named.
-leaf::result<json> Collect(const CommonOptions& common) {
-  std::vector<Target> targets = {common.daemon};
-  targets.insert(targets.end(), common.also.begin(), common.also.end());
+leaf::result<json> CollectReports(const CommonOptions& common) {
+  std::vector<DaemonAddress> daemons = {common.daemon};
+  daemons.insert(daemons.end(), common.other_daemons.begin(),
+                 common.other_daemons.end());
   std::vector<json> reports;
   std::vector<std::string> unreachable;
-  for (const Target& target : targets) {
-    const HttpResult result = Call(target, "GET", "/v1/report", {});
+  for (const DaemonAddress& daemon : daemons) {
+    const HttpResult result = CallDaemon(daemon, "GET", "/v1/report", {});
     json report = json::parse(result.body, nullptr, false);
     if (result.complete && report.is_object() && report.contains("services")) {
       reports.push_back(std::move(report));
     } else {
-      unreachable.push_back(target.Text());
+      unreachable.push_back(daemon.Text());
     }
   }
   if (reports.empty()) {
@@ -37,7 +38,8 @@
   return text;
 }
 
-leaf::result<void> WritePage(const std::string& path, const json& merged) {
+leaf::result<void> WriteReportPage(const std::string& path,
+                                   const json& merged) {
   std::ofstream file(path);
   file << ReportPage(merged);
   file.close();
@@ -50,13 +52,13 @@
 }  // namespace
 
 ExitCode Report(const CommonOptions& common, const std::string& html_file) {
-  return Guarded(common.json, [&]() -> leaf::result<ExitCode> {
-    BOOST_LEAF_AUTO(merged, Collect(common));
+  return RunCommand(common.json, [&]() -> leaf::result<ExitCode> {
+    BOOST_LEAF_AUTO(merged, CollectReports(common));
     if (!html_file.empty()) {
-      BOOST_LEAF_CHECK(WritePage(html_file, merged));
+      BOOST_LEAF_CHECK(WriteReportPage(html_file, merged));
     }
     Print(common.json, merged, ReportText(merged));
-    return merged.at("unreachable").empty() ? kExitDone : kExitUnreachable;
+    return merged.at("unreachable").empty() ? kExitSuccess : kExitUnreachable;
   });
 }
 
--- a/apps/gentianctl/report_merge.cc
+++ b/apps/gentianctl/report_merge.cc
@@ -15,7 +15,7 @@
 constexpr std::array kStageSums = {"runs", "attempts", "units", "billed_bytes",
                                    "cost_micros"};
 
-void AddAttainment(json& sum, const json& part) {
+void AddCounts(json& sum, const json& part) {
   if (sum.is_null()) {
     sum = json::object();
   }
@@ -25,7 +25,7 @@
   }
 }
 
-void WorkOut(json& record, double target) {
+void AddAttainmentRatios(json& record, double target) {
   const Attainment attainment{record.at("total"), record.at("attained")};
   record["attainment"] = attainment.Share();
   record["burn_rate"] = attainment.BurnRate(target);
@@ -37,19 +37,19 @@
     for (const json& service : report.at("services")) {
       json& sum = merged[service.at("service")];
       sum["service"] = service.at("service");
-      AddAttainment(sum, service);
+      AddCounts(sum, service);
       const json& windows = service.at("windows");
       for (std::size_t i = 0; i < windows.size(); ++i) {
-        AddAttainment(sum["windows"][i], windows[i]);
+        AddCounts(sum["windows"][i], windows[i]);
         sum["windows"][i]["seconds"] = windows[i].at("seconds");
       }
     }
   }
   json list = json::array();
   for (auto& [name, service] : merged) {
-    WorkOut(service, target);
+    AddAttainmentRatios(service, target);
     for (json& window : service["windows"]) {
-      WorkOut(window, target);
+      AddAttainmentRatios(window, target);
     }
     list.push_back(std::move(service));
   }
@@ -57,8 +57,8 @@
 }
 
 json MergeStages(const std::vector<json>& reports) {
-  using Name = std::tuple<std::string, std::string, std::string>;
-  std::map<Name, json> merged;
+  using StageKey = std::tuple<std::string, std::string, std::string>;
+  std::map<StageKey, json> merged;
   std::int64_t cost = 0;
   for (const json& report : reports) {
     for (const json& stage : report.at("stages")) {
@@ -92,16 +92,16 @@
   constexpr std::size_t kLongest = 20;
   std::map<std::pair<std::string, std::string>, double> merged;
   for (const json& report : reports) {
-    for (const json& use : report.at("heaviest")) {
-      merged[{use.at("organisation"), use.at("subscriber")}] +=
-          use.at("cost").get<double>();
+    for (const json& usage : report.at("heaviest")) {
+      merged[{usage.at("organisation"), usage.at("subscriber")}] +=
+          usage.at("cost").get<double>();
     }
   }
   std::vector<json> list;
   list.reserve(merged.size());
-  for (const auto& [who, cost] : merged) {
-    list.push_back({{"organisation", who.first},
-                    {"subscriber", who.second},
+  for (const auto& [key, cost] : merged) {
+    list.push_back({{"organisation", key.first},
+                    {"subscriber", key.second},
                     {"cost", cost}});
   }
   std::ranges::stable_sort(list, [](const json& a, const json& b) {
@@ -117,13 +117,14 @@
   for (const json& report : reports) {
     for (const json& peer : report.at("peer_revisions")) {
       json& daemon = daemons[peer.at("name")];
-      const std::uint64_t before =
+      const std::uint64_t known_revision =
           daemon.is_null() ? 0 : daemon.at("revision").get<std::uint64_t>();
-      daemon = {{"name", peer.at("name")},
-                {"data_centre", peer.at("data_centre")},
-                {"revision",
-                 std::max(before, peer.at("revision").get<std::uint64_t>())},
-                {"asked", false}};
+      daemon = {
+          {"name", peer.at("name")},
+          {"data_centre", peer.at("data_centre")},
+          {"revision",
+           std::max(known_revision, peer.at("revision").get<std::uint64_t>())},
+          {"asked", false}};
     }
   }
   for (const json& report : reports) {
@@ -152,18 +153,18 @@
   return list;
 }
 
-std::vector<json> WithoutDoubles(const std::vector<json>& reports) {
+std::vector<json> RemoveDuplicates(const std::vector<json>& reports) {
   std::set<std::string> names;
-  std::vector<json> single;
+  std::vector<json> unique;
   for (const json& report : reports) {
     if (names.insert(report.at("name")).second) {
-      single.push_back(report);
+      unique.push_back(report);
     }
   }
-  return single;
+  return unique;
 }
 
-std::string Formatted(const char* format, double value) {
+std::string FormatNumber(const char* format, double value) {
   constexpr std::size_t kLongest = 64;
   std::array<char, kLongest> text{};
   std::snprintf(text.data(), text.size(), format, value);
@@ -174,23 +175,23 @@
 
 json MergeReports(const std::vector<json>& reports,
                   const std::vector<std::string>& unreachable) {
-  const std::vector<json> single = WithoutDoubles(reports);
+  const std::vector<json> unique = RemoveDuplicates(reports);
   // Hosts that differ are judged by the strictest.
   double target = 0;
-  for (const json& report : single) {
+  for (const json& report : unique) {
     target = std::max(target, report.at("attainment_target").get<double>());
   }
   return {{"attainment_target", target},
-          {"at_unix_micros", single.front().at("at_unix_micros")},
-          {"daemons", MergeDaemons(single)},
+          {"at_unix_micros", unique.front().at("at_unix_micros")},
+          {"daemons", MergeDaemons(unique)},
           {"unreachable", unreachable},
-          {"services", MergeServices(single, target)},
-          {"stages", MergeStages(single)},
-          {"heaviest", MergeHeaviest(single)},
-          {"out_of_favour", MergeOutOfFavour(single)}};
+          {"services", MergeServices(unique, target)},
+          {"stages", MergeStages(unique)},
+          {"heaviest", MergeHeaviest(unique)},
+          {"out_of_favour", MergeOutOfFavour(unique)}};
 }
 
-std::string WindowName(std::int64_t seconds) {
+std::string FormatWindow(std::int64_t seconds) {
   constexpr std::int64_t kMinute = 60;
   constexpr std::int64_t kHour = 60 * kMinute;
   constexpr std::int64_t kDay = 24 * kHour;
@@ -203,18 +204,18 @@
   return std::to_string(seconds / kMinute) + " min";
 }
 
-std::string Percent(double share) {
-  constexpr double kHundred = 100;
-  return Formatted("%.2f %%", share * kHundred);
+std::string FormatPercent(double share) {
+  constexpr double kPercentPerUnit = 100;
+  return FormatNumber("%.2f %%", share * kPercentPerUnit);
 }
 
-std::string Euros(std::int64_t micros) {
-  constexpr double kMicros = 1e6;
-  return Formatted("%.6f", static_cast<double>(micros) / kMicros);
+std::string FormatEuros(std::int64_t micros) {
+  constexpr double kMicrosPerEuro = 1e6;
+  return FormatNumber("%.6f", static_cast<double>(micros) / kMicrosPerEuro);
 }
 
-std::string TwoDecimals(double value) {
-  return Formatted("%.2f", value);
+std::string FormatTwoDecimals(double value) {
+  return FormatNumber("%.2f", value);
 }
 
 }  // namespace gentianroute::ctl
--- a/apps/gentianctl/report_merge.h
+++ b/apps/gentianctl/report_merge.h
@@ -16,16 +16,16 @@
                   const std::vector<std::string>& unreachable);
 
 /// @brief A window's name, like `5 min` or `3 d`.
-std::string WindowName(std::int64_t seconds);
+std::string FormatWindow(std::int64_t seconds);
 
 /// @brief A share as a percentage with two decimals.
-std::string Percent(double share);
+std::string FormatPercent(double share);
 
 /// @brief Micro-euros as euros.
-std::string Euros(std::int64_t micros);
+std::string FormatEuros(std::int64_t micros);
 
 /// @brief A number with two decimals.
-std::string TwoDecimals(double value);
+std::string FormatTwoDecimals(double value);
 
 }  // namespace gentianroute::ctl
 
--- a/apps/gentianctl/report_page.cc
+++ b/apps/gentianctl/report_page.cc
@@ -5,7 +5,7 @@
 namespace gentianroute::ctl {
 namespace {
 
-constexpr const char* kHead = R"(<!doctype html>
+constexpr const char* kPageHead = R"(<!doctype html>
 <html lang="en"><head><meta charset="utf-8">
 <meta name="viewport" content="width=device-width, initial-scale=1">
 <title>gentianroute: service levels</title>
@@ -31,7 +31,7 @@
 <h1>Service levels</h1>
 )";
 
-std::string Escaped(const std::string& text) {
+std::string EscapeHtml(const std::string& text) {
   std::string output;
   for (const char c : text) {
     switch (c) {
@@ -67,9 +67,9 @@
                     double limit) {
   constexpr int kWidth = 360;
   constexpr int kBarWidth = 290;
-  constexpr int kRow = 38;
-  constexpr int kNameDown = 14;
-  constexpr int kBarDown = 19;
+  constexpr int kRowHeight = 38;
+  constexpr int kLabelBaseline = 14;
+  constexpr int kBarTop = 19;
   constexpr int kBarHeight = 12;
   double largest = limit;
   for (const Bar& bar : bars) {
@@ -78,19 +78,19 @@
   const auto length = [largest](double value) {
     return largest <= 0 ? 0 : static_cast<int>(kBarWidth * value / largest);
   };
-  const int height = kRow * static_cast<int>(bars.size());
+  const int height = kRowHeight * static_cast<int>(bars.size());
   std::string svg = "<svg role=\"img\" viewBox=\"0 0 " +
                     std::to_string(kWidth) + " " + std::to_string(height) +
-                    "\"><title>" + Escaped(title) + "</title>\n";
+                    "\"><title>" + EscapeHtml(title) + "</title>\n";
   int top = 0;
   for (const Bar& bar : bars) {
     const std::string width = std::to_string(std::max(length(bar.value), 1));
-    svg += "<text x=\"0\" y=\"" + std::to_string(top + kNameDown) + "\">" +
-           Escaped(bar.name + ": " + bar.label) + "</text><rect class=\"" +
+    svg += "<text x=\"0\" y=\"" + std::to_string(top + kLabelBaseline) + "\">" +
+           EscapeHtml(bar.name + ": " + bar.label) + "</text><rect class=\"" +
            (bar.bad ? "bad" : "good") + "\" x=\"0\" y=\"" +
-           std::to_string(top + kBarDown) + "\" width=\"" + width +
+           std::to_string(top + kBarTop) + "\" width=\"" + width +
            "\" height=\"" + std::to_string(kBarHeight) + "\"/>\n";
-    top += kRow;
+    top += kRowHeight;
   }
   if (limit > 0) {
     const std::string x = std::to_string(length(limit));
@@ -110,8 +110,8 @@
       const double burn = window.at("burn_rate");
       if (worst.label.empty() || burn > worst.value) {
         worst.value = burn;
-        worst.label =
-            TwoDecimals(burn) + " over " + WindowName(window.at("seconds"));
+        worst.label = FormatTwoDecimals(burn) + " over " +
+                      FormatWindow(window.at("seconds"));
       }
     }
     worst.bad = worst.value > 1;
@@ -126,7 +126,7 @@
     bars.push_back({stage.at("service").get<std::string>() + ", " +
                         stage.at("stage").get<std::string>(),
                     stage.at("cost_micros"),
-                    Euros(stage.at("cost_micros")) + " euros", false});
+                    FormatEuros(stage.at("cost_micros")) + " euros", false});
   }
   return BarPlot("Cost by service and stage", bars, 0);
 }
@@ -136,14 +136,15 @@
     return "<p>None.</p>\n";
   }
   std::string html = "<div class=\"wide\"><table>\n";
-  const char* cell = "th";
+  const char* tag = "th";
   for (const auto& row : table.rows) {
     html += "<tr>";
     for (const std::string& text : row) {
-      html += std::string("<") + cell + ">" + Escaped(text) + "</" + cell + ">";
+      html +=
+          std::string("<") + tag + ">" + EscapeHtml(text) + "</" + tag + ">";
     }
     html += "</tr>\n";
-    cell = "td";
+    tag = "td";
   }
   return html + "</table></div>\n";
 }
@@ -151,12 +152,12 @@
 }  // namespace
 
 std::string ReportPage(const json& merged) {
-  std::string page = kHead;
-  page += "<p>" + Escaped(ReportSummary(merged)) + "</p>\n";
+  std::string page = kPageHead;
+  page += "<p>" + EscapeHtml(ReportSummary(merged)) + "</p>\n";
   const std::vector<ReportTable> tables = ReportTables(merged);
   const std::vector<std::string> plots = {BurnPlot(merged), CostPlot(merged)};
   for (std::size_t i = 0; i < tables.size(); ++i) {
-    page += "<h2>" + Escaped(tables[i].title) + "</h2>\n";
+    page += "<h2>" + EscapeHtml(tables[i].title) + "</h2>\n";
     if (i < plots.size() && tables[i].rows.size() > 1) {
       page += plots[i];
     }
--- a/apps/gentianctl/report_tables.cc
+++ b/apps/gentianctl/report_tables.cc
@@ -11,12 +11,12 @@
   for (const json& service : merged.at("services")) {
     std::vector<std::string> row = {service.at("service"),
                                     service.at("total").dump(),
-                                    Percent(service.at("attainment"))};
+                                    FormatPercent(service.at("attainment"))};
     for (const json& window : service.at("windows")) {
       if (table.rows.size() == 1) {
-        table.rows[0].push_back("burn " + WindowName(window.at("seconds")));
+        table.rows[0].push_back("burn " + FormatWindow(window.at("seconds")));
       }
-      row.push_back(TwoDecimals(window.at("burn_rate")));
+      row.push_back(FormatTwoDecimals(window.at("burn_rate")));
     }
     table.rows.push_back(std::move(row));
   }
@@ -28,11 +28,12 @@
                     {{"service", "profile", "stage", "runs", "calls", "units",
                       "billed bytes", "euros", "share"}}};
   for (const json& stage : merged.at("stages")) {
-    table.rows.push_back(
-        {stage.at("service"), stage.at("profile"), stage.at("stage"),
-         stage.at("runs").dump(), stage.at("attempts").dump(),
-         stage.at("units").dump(), stage.at("billed_bytes").dump(),
-         Euros(stage.at("cost_micros")), Percent(stage.at("cost_share"))});
+    table.rows.push_back({stage.at("service"), stage.at("profile"),
+                          stage.at("stage"), stage.at("runs").dump(),
+                          stage.at("attempts").dump(), stage.at("units").dump(),
+                          stage.at("billed_bytes").dump(),
+                          FormatEuros(stage.at("cost_micros")),
+                          FormatPercent(stage.at("cost_share"))});
   }
   return table;
 }
@@ -40,11 +41,11 @@
 ReportTable HeaviestTable(const json& merged) {
   ReportTable table{"Heaviest organisations and subscribers",
                     {{"organisation", "subscriber", "recent cost"}}};
-  for (const json& use : merged.at("heaviest")) {
-    const std::string subscriber = use.at("subscriber");
-    table.rows.push_back({use.at("organisation"),
+  for (const json& usage : merged.at("heaviest")) {
+    const std::string subscriber = usage.at("subscriber");
+    table.rows.push_back({usage.at("organisation"),
                           subscriber.empty() ? "(all)" : subscriber,
-                          TwoDecimals(use.at("cost"))});
+                          FormatTwoDecimals(usage.at("cost"))});
   }
   return table;
 }
@@ -68,7 +69,7 @@
     table.rows.push_back(
         {daemon.at("name"), daemon.at("data_centre"),
          daemon.at("revision").dump(),
-         asked ? TimeText(daemon.at("counting_since_unix_micros"))
+         asked ? FormatTime(daemon.at("counting_since_unix_micros"))
                : std::string("not asked")});
   }
   for (const json& target : merged.at("unreachable")) {
@@ -85,8 +86,8 @@
 }
 
 std::string ReportSummary(const json& merged) {
-  return "Service levels at " + TimeText(merged.at("at_unix_micros")) +
-         ", target " + Percent(merged.at("attainment_target")) +
+  return "Service levels at " + FormatTime(merged.at("at_unix_micros")) +
+         ", target " + FormatPercent(merged.at("attainment_target")) +
          " answered whole within the deadline. A burn rate above 1 spends the "
          "error budget too fast. Hosts keep nothing: each daemon counts since "
          "its own start; only the burn over 6 h and 3 d goes on from what its "
--- a/apps/gentianctl/wait.h
+++ b/apps/gentianctl/rollout.h
@@ -1,5 +1,5 @@
-#ifndef GENTIANROUTE_APPS_GENTIANCTL_WAIT_H_
-#define GENTIANROUTE_APPS_GENTIANCTL_WAIT_H_
+#ifndef GENTIANROUTE_APPS_GENTIANCTL_ROLLOUT_H_
+#define GENTIANROUTE_APPS_GENTIANCTL_ROLLOUT_H_
 
 #include <chrono>
 #include <cstdint>
@@ -10,8 +10,8 @@
 namespace gentianroute::ctl {
 
 /// @brief Which daemons have a revision in force.
-struct Waited {
-  bool in_force = false;  ///< at every daemon that can be reached
+struct RolloutStatus {
+  bool in_force_everywhere = false;  ///< at every daemon that can be reached
   json daemons = json::array();
   std::string text;  ///< one line a daemon
 };
@@ -25,10 +25,10 @@
 /// named by --also are asked themselves and must answer. A change that stands
 /// must never look as if it failed, so a daemon that does not answer is a
 /// daemon that lags, not an error.
-Waited WaitInForce(const CommonOptions& common,
-                   std::uint64_t revision,
-                   std::chrono::seconds limit);
+RolloutStatus WaitForRollout(const CommonOptions& common,
+                             std::uint64_t revision,
+                             std::chrono::seconds timeout);
 
 }  // namespace gentianroute::ctl
 
-#endif  // GENTIANROUTE_APPS_GENTIANCTL_WAIT_H_
+#endif  // GENTIANROUTE_APPS_GENTIANCTL_ROLLOUT_H_
--- a/apps/gentianctl/status.cc
+++ b/apps/gentianctl/status.cc
@@ -7,24 +7,25 @@
 
 using Rows = std::vector<std::vector<std::string>>;
 
-std::string TextOf(const json& value, const char* field) {
+std::string FieldText(const json& value, const char* field) {
   const json& member = value.at(field);
   return member.is_string() ? member.get<std::string>() : member.dump();
 }
 
-std::string HeadText(const json& status) {
+std::string SummaryText(const json& status) {
   std::string state = status.at("ready").get<bool>() ? "ready" : "not ready";
   if (status.at("draining").get<bool>()) {
     state = "draining";
   }
-  return TextOf(status, "name") + " (" + TextOf(status, "data_centre") + ", " +
-         TextOf(status, "region") + "): " + state + ", revision " +
-         TextOf(status, "revision") + " in force, highest heard of " +
-         TextOf(status, "highest_heard") +
-         "\nrequests: " + TextOf(status, "submitted") + " taken, " +
-         TextOf(status, "answered") + " answered, " + TextOf(status, "failed") +
-         " failed, " + TextOf(status, "active") + " running, " +
-         TextOf(status, "queued") + " waiting\n";
+  return FieldText(status, "name") + " (" + FieldText(status, "data_centre") +
+         ", " + FieldText(status, "region") + "): " + state + ", revision " +
+         FieldText(status, "revision") + " in force, highest heard of " +
+         FieldText(status, "highest_heard") +
+         "\nrequests: " + FieldText(status, "submitted") + " taken, " +
+         FieldText(status, "answered") + " answered, " +
+         FieldText(status, "failed") + " failed, " +
+         FieldText(status, "active") + " running, " +
+         FieldText(status, "queued") + " waiting\n";
 }
 
 std::string PeersText(const json& status) {
@@ -37,8 +38,8 @@
             ? 0
             : static_cast<int>(heard.get<double>() / kMillisPerSecond);
     rows.push_back(
-        {TextOf(peer, "name"), TextOf(peer, "data_centre"),
-         TextOf(peer, "revision"),
+        {FieldText(peer, "name"), FieldText(peer, "data_centre"),
+         FieldText(peer, "revision"),
          heard.is_null() ? "never" : std::to_string(seconds) + " s ago",
          peer.at("reachable").get<bool>() ? "" : "out of reach"});
   }
@@ -59,19 +60,20 @@
   Rows rows = {{"server", "pool", "data centre", "state", "in flight", "load",
                 "calls", "failures"}};
   for (const json& server : status.at("servers")) {
-    rows.push_back({TextOf(server, "name"), TextOf(server, "pool"),
-                    TextOf(server, "data_centre"), ServerState(server),
-                    TextOf(server, "in_flight"), TextOf(server, "load"),
-                    TextOf(server, "calls"), TextOf(server, "failures")});
+    rows.push_back({FieldText(server, "name"), FieldText(server, "pool"),
+                    FieldText(server, "data_centre"), ServerState(server),
+                    FieldText(server, "in_flight"), FieldText(server, "load"),
+                    FieldText(server, "calls"), FieldText(server, "failures")});
   }
   return "\nbackend servers\n" + TextTable(rows);
 }
 
 std::string HeaviestText(const json& status) {
   Rows rows = {{"organisation", "subscriber", "recent cost"}};
-  for (const json& use : status.at("heaviest")) {
-    rows.push_back({TextOf(use, "organisation"), TextOf(use, "subscriber"),
-                    TwoDecimals(use.at("cost"))});
+  for (const json& usage : status.at("heaviest")) {
+    rows.push_back({FieldText(usage, "organisation"),
+                    FieldText(usage, "subscriber"),
+                    FormatTwoDecimals(usage.at("cost"))});
   }
   return "\nheaviest\n" + TextTable(rows);
 }
@@ -79,13 +81,13 @@
 }  // namespace
 
 ExitCode Status(const CommonOptions& common) {
-  return Guarded(common.json, [&]() -> leaf::result<ExitCode> {
-    BOOST_LEAF_AUTO(status, Get(common.daemon, "/status"));
+  return RunCommand(common.json, [&]() -> leaf::result<ExitCode> {
+    BOOST_LEAF_AUTO(status, GetJson(common.daemon, "/status"));
     Print(common.json, status,
           common.json ? std::string()
-                      : HeadText(status) + PeersText(status) +
+                      : SummaryText(status) + PeersText(status) +
                             ServersText(status) + HeaviestText(status));
-    return kExitDone;
+    return kExitSuccess;
   });
 }
 
--- a/apps/gentianctl/submit.cc
+++ b/apps/gentianctl/submit.cc
@@ -3,7 +3,7 @@
 #include <random>
 #include <utility>
 
-#include "wait.h"
+#include "rollout.h"
 
 namespace gentianroute::ctl {
 namespace {
@@ -12,16 +12,16 @@
 constexpr int kConflict = 409;
 constexpr int kUnavailable = 503;
 
-std::string NewChangeId() {
+std::string GenerateChangeId() {
   std::random_device random;
   const std::uint64_t high = random();
-  constexpr unsigned kHalf = 32;
-  return "change-" + std::to_string(high << kHalf | random());
+  constexpr unsigned kHighBitsShift = 32;
+  return "change-" + std::to_string(high << kHighBitsShift | random());
 }
 
-json ChangeOf(const ChangePlan& plan,
-              const std::string& author,
-              const std::string& change_id) {
+json ChangeRequestJson(const ChangePlan& plan,
+                       const std::string& author,
+                       const std::string& change_id) {
   json changes = json::array();
   for (const PlannedChange& change : plan) {
     changes.push_back({{"kind", DocumentKindName(change.name.first)},
@@ -35,23 +35,25 @@
 }
 
 /// Both sides of a conflict that the daemon found.
-leaf::result<std::uint64_t> Conflict(const CommonOptions& common,
-                                     const ChangePlan& plan,
-                                     std::uint64_t seen,
-                                     const HttpResult& result) {
-  BOOST_LEAF_AUTO(present, GetInForce(common.daemon));
+leaf::result<std::uint64_t> DescribeConflict(const CommonOptions& common,
+                                             const ChangePlan& plan,
+                                             std::uint64_t base_revision,
+                                             const HttpResult& result) {
+  BOOST_LEAF_AUTO(latest, GetCurrentConfig(common.daemon));
   BOOST_LEAF_AUTO(history, GetHistory(common.daemon));
-  BOOST_LEAF_CHECK(CheckBase(plan, present.documents, history, seen));
+  BOOST_LEAF_CHECK(
+      CheckBaseRevision(plan, latest.documents, history, base_revision));
   return leaf::new_error(Failure{kExitConflict, ProblemText(result)});
 }
 
-leaf::result<std::uint64_t> Send(const CommonOptions& common,
-                                 const ChangePlan& plan,
-                                 std::uint64_t seen,
-                                 const std::string& author,
-                                 const std::string& change_id) {
-  const HttpResult result = Call(common.daemon, "POST", "/v1/apply",
-                                 ChangeOf(plan, author, change_id).dump());
+leaf::result<std::uint64_t> SendChange(const CommonOptions& common,
+                                       const ChangePlan& plan,
+                                       std::uint64_t base_revision,
+                                       const std::string& author,
+                                       const std::string& change_id) {
+  const HttpResult result =
+      CallDaemon(common.daemon, "POST", "/v1/apply",
+                 ChangeRequestJson(plan, author, change_id).dump());
   if (!result.complete || result.status == kUnavailable) {
     // The change may be in the log although its answer was lost; the id makes
     // a second try the same change.
@@ -63,7 +65,7 @@
         {{"change_id", change_id}}});
   }
   if (result.status == kConflict) {
-    return Conflict(common, plan, seen, result);
+    return DescribeConflict(common, plan, base_revision, result);
   }
   if (result.status != kOk) {
     return leaf::new_error(Failure{kExitFailed, ProblemText(result)});
@@ -72,41 +74,42 @@
 }
 
 /// What became of a change, with `daemons` if it was waited for.
-struct Outcome {
+struct SubmitOutcome {
   std::uint64_t revision = 0;
   bool changed = false;
-  std::string sentence;
+  std::string summary;
 };
 
-leaf::result<Outcome> Settle(const CommonOptions& common,
-                             const ChangePlan& plan,
-                             const InForce& in_force,
-                             const ChangeOptions& options,
-                             const std::string& change_id) {
+leaf::result<SubmitOutcome> SubmitOnce(const CommonOptions& common,
+                                       const ChangePlan& plan,
+                                       const CurrentConfig& current,
+                                       const ChangeOptions& options,
+                                       const std::string& change_id) {
   if (!options.change_id.empty()) {
     BOOST_LEAF_AUTO(history, GetHistory(common.daemon));
-    const std::uint64_t stands = RevisionOfChange(history, change_id);
-    if (stands != 0) {
-      return Outcome{
-          stands, false,
-          "this change stands already, as revision " + std::to_string(stands)};
+    const std::uint64_t applied_revision =
+        FindRevisionByChangeId(history, change_id);
+    if (applied_revision != 0) {
+      return SubmitOutcome{applied_revision, false,
+                           "this change stands already, as revision " +
+                               std::to_string(applied_revision)};
     }
   }
   if (plan.empty()) {
-    return Outcome{in_force.revision, false,
-                   "nothing to change; revision " +
-                       std::to_string(in_force.revision) + " is in force"};
+    return SubmitOutcome{current.revision, false,
+                         "nothing to change; revision " +
+                             std::to_string(current.revision) + " is in force"};
   }
-  BOOST_LEAF_AUTO(revision, Send(common, plan, in_force.revision,
-                                 options.author, change_id));
-  return Outcome{revision, true,
-                 "applied as revision " + std::to_string(revision)};
+  BOOST_LEAF_AUTO(revision, SendChange(common, plan, current.revision,
+                                       options.author, change_id));
+  return SubmitOutcome{revision, true,
+                       "applied as revision " + std::to_string(revision)};
 }
 
 }  // namespace
 
-std::uint64_t RevisionOfChange(const std::vector<ConfigRevision>& history,
-                               const std::string& change_id) {
+std::uint64_t FindRevisionByChangeId(const std::vector<ConfigRevision>& history,
+                                     const std::string& change_id) {
   for (const ConfigRevision& revision : history) {
     if (revision.change_id == change_id) {
       return revision.revision;
@@ -117,25 +120,26 @@
 
 leaf::result<ExitCode> Submit(const CommonOptions& common,
                               const ChangePlan& plan,
-                              const InForce& in_force,
+                              const CurrentConfig& current,
                               const ChangeOptions& options) {
   const std::string change_id =
-      options.change_id.empty() ? NewChangeId() : options.change_id;
-  BOOST_LEAF_AUTO(outcome, Settle(common, plan, in_force, options, change_id));
+      options.change_id.empty() ? GenerateChangeId() : options.change_id;
+  BOOST_LEAF_AUTO(outcome,
+                  SubmitOnce(common, plan, current, options, change_id));
   json value = {{"revision", outcome.revision},
                 {"changed", outcome.changed},
                 {"change_id", change_id},
                 {"changes", PlanJson(plan)}};
   std::string text =
-      (outcome.changed ? PlanText(plan) : "") + outcome.sentence + "\n";
-  ExitCode code = kExitDone;
+      (outcome.changed ? PlanText(plan) : "") + outcome.summary + "\n";
+  ExitCode code = kExitSuccess;
   if (options.wait_s > 0) {
-    const Waited waited = WaitInForce(common, outcome.revision,
-                                      std::chrono::seconds(options.wait_s));
-    value["in_force_everywhere"] = waited.in_force;
-    value["daemons"] = waited.daemons;
-    text += waited.text;
-    code = waited.in_force ? kExitDone : kExitTimeout;
+    const RolloutStatus rollout = WaitForRollout(
+        common, outcome.revision, std::chrono::seconds(options.wait_s));
+    value["in_force_everywhere"] = rollout.in_force_everywhere;
+    value["daemons"] = rollout.daemons;
+    text += rollout.text;
+    code = rollout.in_force_everywhere ? kExitSuccess : kExitTimeout;
   }
   Print(common.json, value, text);
   return code;
--- a/apps/gentianctl/submit.h
+++ b/apps/gentianctl/submit.h
@@ -14,13 +14,13 @@
 /// try again with), kExitTimeout or kExitFailed
 leaf::result<ExitCode> Submit(const CommonOptions& common,
                               const ChangePlan& plan,
-                              const InForce& in_force,
+                              const CurrentConfig& current,
                               const ChangeOptions& options);
 
 /// @brief The revision that a change id stands as.
 /// @return 0 if the history does not have it
-std::uint64_t RevisionOfChange(const std::vector<ConfigRevision>& history,
-                               const std::string& change_id);
+std::uint64_t FindRevisionByChangeId(const std::vector<ConfigRevision>& history,
+                                     const std::string& change_id);
 
 }  // namespace gentianroute::ctl
 
--- a/apps/gentianctl/validate.cc
+++ b/apps/gentianctl/validate.cc
@@ -5,14 +5,14 @@
 
 ExitCode Validate(const CommonOptions& common,
                   const std::vector<std::string>& files) {
-  return Guarded(common.json, [&]() -> leaf::result<ExitCode> {
-    BOOST_LEAF_AUTO(declared, ReadDeclared(files));
+  return RunCommand(common.json, [&]() -> leaf::result<ExitCode> {
+    BOOST_LEAF_AUTO(declared, ReadDeclarations(files));
     BOOST_LEAF_CHECK(
         CheckReferences(files.front(), declared.documents, declared.origins));
     const std::size_t count = declared.documents.size();
     Print(common.json, {{"valid", true}, {"documents", count}},
           std::to_string(count) + " documents, all valid\n");
-    return kExitDone;
+    return kExitSuccess;
   });
 }
 
