--- a/apps/gentianctl/apply.cc
+++ b/apps/gentianctl/apply.cc
@@ -9,7 +9,7 @@
     BOOST_LEAF_AUTO(prepared, PreparePlan(common, options));
     if (options.base >= 0) {
       BOOST_LEAF_AUTO(history, GetHistory(common.daemon));
-      // A change that stands already is settled, whatever came after it.
+      // A change that was already applied can't conflict with later ones.
       if (FindRevisionByChangeId(history, options.change.change_id) == 0) {
         BOOST_LEAF_CHECK(CheckBaseRevision(
             prepared.plan, prepared.current.documents, history,
--- a/apps/gentianctl/change_plan.cc
+++ b/apps/gentianctl/change_plan.cc
@@ -16,7 +16,7 @@
   return body.empty() ? json(nullptr) : json::parse(body);
 }
 
-/// Fields that differ, one a line.
+/// Lists the fields that differ, one per line.
 std::string FieldDiffText(const json& before, const json& after) {
   std::string text;
   for (const json& edit : json::diff(before, after)) {
--- a/apps/gentianctl/change_plan.h
+++ b/apps/gentianctl/change_plan.h
@@ -10,42 +10,47 @@
 
 namespace gentianroute::ctl {
 
-/// @brief One document that differs from what is in force.
+/// @brief One document whose desired state differs from the configuration in
+/// force.
 struct PlannedChange {
   DocumentName name;
-  std::string before;  ///< empty: it is added
-  std::string after;   ///< empty: it is deleted
+  std::string before;  ///< JSON; empty: the document is added
+  std::string after;   ///< JSON; empty: the document is deleted
+  /// Revision that last wrote the document; 0: it does not exist.
   std::uint64_t base_revision = 0;
 };
 
 using ChangePlan = std::vector<PlannedChange>;
 
-/// @brief What takes the documents in force to the wanted ones. Documents that
-/// are equal are left out, so that nothing new makes no new revision.
-/// @param wanted documents to be in force
-/// @param deleted documents to be deleted, unless they are wanted
+/// @brief Computes the changes from the current to the desired documents.
+/// Equal documents are left out, so that an apply without differences creates
+/// no revision.
+/// @param desired documents to write; others stay as they are
+/// @param deleted documents to delete, unless they are desired
 ChangePlan PlanChanges(const Documents& current,
                        const Documents& desired,
                        const std::set<DocumentName>& deleted);
 
-/// @brief Names of documents in force that are not wanted.
+/// @brief Names of current documents that are not among the desired ones.
 std::set<DocumentName> FindRemovedDocuments(const Documents& current,
                                             const Documents& desired);
 
-/// @brief Checks that what would be in force names only what is declared.
+/// @brief Checks the references between documents as they would be after the
+/// plan.
+/// @param origins locations of the declared documents, for errors
 /// @return SchemaError
 leaf::result<void> CheckPlan(const Documents& current,
                              const ChangePlan& plan,
                              const Origins& origins);
 
-/// @brief Documents of the plan that somebody changed after a revision.
-/// @return Failure with kExitConflict, which shows both sides
+/// @brief Checks that no document of the plan was changed after a revision.
+/// @return Failure with kExitConflict that shows both versions
 leaf::result<void> CheckBaseRevision(const ChangePlan& plan,
                                      const Documents& current,
                                      const std::vector<ConfigRevision>& history,
                                      std::uint64_t base_revision);
 
-/// @brief The plan for a person: each field before and after.
+/// @brief The plan as text: each changed field before and after.
 std::string PlanText(const ChangePlan& plan);
 json PlanJson(const ChangePlan& plan);
 
--- a/apps/gentianctl/commands.h
+++ b/apps/gentianctl/commands.h
@@ -10,30 +10,31 @@
 
 namespace gentianroute::ctl {
 
-/// @brief What all commands share.
+/// @brief Options of all commands.
 struct CommonOptions {
   DaemonAddress daemon;
-  std::vector<DaemonAddress> other_daemons;  ///< more daemons
-  bool json = false;                         ///< --output json
+  std::vector<DaemonAddress> other_daemons;  ///< from --also
+  bool json = false;                         ///< from --output json
 };
 
-/// @brief How a change is submitted.
+/// @brief Options of the commands that change the configuration.
 struct ChangeOptions {
   std::string author = "unknown";
-  std::string change_id;     ///< empty: a new one
-  std::uint32_t wait_s = 0;  ///< 0: do not wait until it is in force
+  std::string change_id;     ///< empty: a generated one
+  std::uint32_t wait_s = 0;  ///< for the rollout; 0: do not wait
 };
 
+/// @brief Options of apply and diff.
 struct ApplyOptions {
   std::vector<std::string> files;
   std::vector<std::string> deletes;  ///< `kind/name`
-  bool prune = false;                ///< delete what no file names
-  std::int64_t base = -1;  ///< revision that the edits began from; -1: unstated
+  bool prune = false;                ///< delete documents that no file declares
+  std::int64_t base = -1;  ///< revision that was edited; -1: not given
   ChangeOptions change;
 };
 
-// One function a command, each in a file of its own. They print their result
-// and return the exit code.
+// One function per command, each in its own file. Each prints its result and
+// returns the exit code.
 ExitCode Validate(const CommonOptions& common,
                   const std::vector<std::string>& files);
 ExitCode Diff(const CommonOptions& common, const ApplyOptions& options);
@@ -46,10 +47,12 @@
 ExitCode Status(const CommonOptions& common);
 ExitCode Drain(const CommonOptions& common);
 ExitCode Report(const CommonOptions& common, const std::string& html_file);
-/// @param files logs of daemons; none: standard input
+/// @param request id of the request to explain
+/// @param files logs of daemons; empty: standard input
 ExitCode Explain(const CommonOptions& common,
                  const std::string& request,
                  const std::vector<std::string>& files);
+/// @param table `settings`, `profiles` or `errors`
 ExitCode Reference(const CommonOptions& common, const std::string& table);
 
 }  // namespace gentianroute::ctl
--- a/apps/gentianctl/configuration.cc
+++ b/apps/gentianctl/configuration.cc
@@ -27,7 +27,8 @@
   return revision;
 }
 
-/// The change of one document in one revision.
+/// Finds the change of a document in a revision.
+/// @return null if the revision does not change it
 const DocumentChange* FindChange(const ConfigRevision& revision,
                                  const DocumentName& name) {
   for (const DocumentChange& change : revision.changes) {
@@ -38,7 +39,8 @@
   return nullptr;
 }
 
-/// The document as written by one revision of the history.
+/// Finds the change of a document in the revision with this number.
+/// @return null if the history does not have it
 const DocumentChange* FindChangeAtRevision(
     const std::vector<ConfigRevision>& history,
     std::uint64_t number,
@@ -53,8 +55,8 @@
 
 Failure HistoryTooShort(std::uint64_t revision) {
   return {kExitInvalid,
-          "the daemon does not keep enough of the history to "
-          "tell what stood at revision " +
+          "the daemon's history does not reach back far enough "
+          "to restore revision " +
               std::to_string(revision)};
 }
 
@@ -90,8 +92,8 @@
         return leaf::new_error(
             SchemaError{file, origins[name].path + ".name",
                         "'" + name.second + "', which " +
-                            duplicate->second.file + " has too",
-                        "a name that stands once in all files"});
+                            duplicate->second.file + " declares too",
+                        "a name that is declared once in all files"});
       }
       declared.documents[name] = document;
       declared.origins[name] = origins[name];
@@ -131,7 +133,8 @@
                           "; the last is " + std::to_string(current.revision)});
   }
   Documents documents = current.documents;
-  // Newest first, each change is undone: what its author saw comes back.
+  // Undoes the changes from the newest one back: each document returns to the
+  // version that the change was based on.
   std::uint64_t reached = current.revision;
   for (auto undone = history.rbegin();
        undone != history.rend() && undone->revision > revision; ++undone) {
--- a/apps/gentianctl/configuration.h
+++ b/apps/gentianctl/configuration.h
@@ -12,48 +12,53 @@
 
 namespace gentianroute::ctl {
 
-/// @brief `kind/name`, as operators write it.
+/// @brief Formats a document name as `kind/name`.
 std::string FullNameText(const DocumentName& name);
+/// @brief Parses `kind/name`.
 /// @return Failure with kExitInvalid
 leaf::result<DocumentName> ParseFullName(const std::string& text);
 
-/// @brief The content of profile files.
+/// @brief The documents that profile files declare.
 struct DeclaredDocuments {
   Documents documents;
-  Origins origins;
+  Origins origins;  ///< location of each document, for errors
 };
 
-/// @brief Reads profile files; a document may stand in one of them only.
-/// @return SchemaError
+/// @brief Reads profile files.
+/// @return SchemaError, also for a document that two files declare
 leaf::result<DeclaredDocuments> ReadDeclarations(
     const std::vector<std::string>& files);
 
-/// @brief All documents at one revision.
+/// @brief The configuration in force at a daemon.
 struct CurrentConfig {
   std::uint64_t revision = 0;
   Documents documents;
 };
+
+/// @return Failure as from GetJson()
 leaf::result<CurrentConfig> GetCurrentConfig(const DaemonAddress& daemon);
 
-/// @brief Revisions that a daemon keeps, oldest first.
+/// @brief Reads the revisions that a daemon retains, oldest first.
+/// @return Failure as from GetJson()
 leaf::result<std::vector<ConfigRevision>> GetHistory(
     const DaemonAddress& daemon);
 
-/// @brief The documents as they were at an earlier revision.
-/// @param history revisions that are kept, oldest first
-/// @return Failure with kExitInvalid if the history does not reach that far
+/// @brief Computes the documents as of an earlier revision.
+/// @param history retained revisions, oldest first
+/// @return Failure with kExitInvalid if the history does not reach back that
+/// far or the revision does not exist
 leaf::result<Documents> RestoreDocuments(
     const std::vector<ConfigRevision>& history,
     const CurrentConfig& current,
     std::uint64_t revision);
 
-/// @brief The last kept revision that changed a document.
+/// @brief Finds the last retained revision that changed a document.
 /// @return null if none did
 const ConfigRevision* FindLastRevisionOf(
     const std::vector<ConfigRevision>& history,
     const DocumentName& name);
 
-/// @brief UTC time of a revision, like `2026-03-01 08:15:00Z`.
+/// @brief Formats a time in UTC, like `2026-03-01 08:15:00Z`.
 std::string FormatTime(UnixMicros time);
 
 }  // namespace gentianroute::ctl
--- a/apps/gentianctl/daemon_client.h
+++ b/apps/gentianctl/daemon_client.h
@@ -9,7 +9,7 @@
 
 namespace gentianroute::ctl {
 
-/// @brief One daemon's operators' address.
+/// @brief Address and port of a daemon's operator interface.
 struct DaemonAddress {
   std::string address = "127.0.0.1";
   std::uint16_t port = 0;
@@ -17,23 +17,24 @@
   std::string Text() const { return address + ":" + std::to_string(port); }
 };
 
-/// @brief Reads `address:port`.
+/// @brief Parses `address:port`.
 /// @return Failure with kExitInvalid
 leaf::result<DaemonAddress> ParseDaemonAddress(const std::string& text);
 
-/// @brief Asks one daemon and waits for the answer, at most ten seconds.
-/// @return `whole` is false if no whole answer came in time
+/// @brief Sends a request to one daemon and waits at most ten seconds.
+/// @return `complete` is false if no complete response came in time
 HttpResult CallDaemon(const DaemonAddress& daemon,
                       std::string method,
                       std::string path,
                       std::string body);
 
-/// @brief Reads one path of a daemon.
-/// @return Failure with kExitUnreachable, or kExitFailed for any status but 200
+/// @brief Requests a path of a daemon and parses the response as JSON.
+/// @return Failure with kExitUnreachable, or kExitFailed for a status other
+/// than 200 and for a body that is not JSON
 leaf::result<json> GetJson(const DaemonAddress& daemon,
                            const std::string& path);
 
-/// @brief What a daemon's problem+json says, for a person.
+/// @brief Formats a daemon's application/problem+json response as text.
 std::string ProblemText(const HttpResult& result);
 
 }  // namespace gentianroute::ctl
--- a/apps/gentianctl/drain.cc
+++ b/apps/gentianctl/drain.cc
@@ -17,8 +17,8 @@
     }
     Print(common.json, {{"draining", true}},
           common.daemon.Text() +
-              " finishes what it has taken, then stops; requests that run are "
-              "not cut off\n");
+              " finishes the requests it has accepted, then stops; running "
+              "requests are not cut off\n");
     return kExitSuccess;
   });
 }
--- a/apps/gentianctl/exit_code.h
+++ b/apps/gentianctl/exit_code.h
@@ -3,15 +3,15 @@
 
 namespace gentianroute::ctl {
 
-/// @brief What gentianctl exits with; documented in docs/OPERATING.md.
+/// @brief Exit codes of gentianctl; documented in docs/OPERATING.md.
 enum ExitCode : int {
   kExitSuccess = 0,
-  kExitFailed = 1,       ///< the daemon refused, or made a mistake
-  kExitInvalid = 2,      ///< a file or an argument has an error
-  kExitConflict = 3,     ///< somebody else changed the same document
-  kExitUnreachable = 4,  ///< no answer; an apply may or may not stand
+  kExitFailed = 1,       ///< the daemon rejected the call or failed
+  kExitInvalid = 2,      ///< a file or an argument is invalid
+  kExitConflict = 3,     ///< another operator changed the same document
+  kExitUnreachable = 4,  ///< no answer; an apply may have taken effect
   kExitTimeout = 5,      ///< applied, but not yet in force everywhere
-  kExitDiffers = 6,      ///< diff only: an apply would change something
+  kExitDiffers = 6,      ///< diff only: an apply would change documents
 };
 
 }  // namespace gentianroute::ctl
--- a/apps/gentianctl/explain.cc
+++ b/apps/gentianctl/explain.cc
@@ -1,4 +1,4 @@
-// Why one request ended as it did, from the lines of any number of daemons.
+// Explains the outcome of one request from the logs of any number of daemons.
 
 #include <fstream>
 #include <iostream>
--- a/apps/gentianctl/failure.h
+++ b/apps/gentianctl/failure.h
@@ -14,21 +14,23 @@
 
 using nlohmann::json;
 
-/// @brief Why a command did not do what it was asked to.
+/// @brief Error of a command.
 struct Failure {
   ExitCode code = kExitFailed;
   std::string text;
-  json details = json::object();  ///< added to the output as JSON
+  json details = json::object();  ///< more fields of the JSON output
 };
 
-/// @brief Prints a result: JSON as it is, or a text for a person.
+/// @brief Prints a result to standard output, as JSON or as text.
 void Print(bool as_json, const json& value, const std::string& text);
 
+/// @brief Prints a failure: as JSON to standard output, as text to standard
+/// error.
 /// @return the failure's exit code
 ExitCode PrintFailure(bool as_json, const Failure& failure);
 
-/// @brief Runs a command; prints a Failure or SchemaError and turns it into its
-/// exit code.
+/// @brief Runs a command; prints its error, if any, and maps it to an exit
+/// code.
 /// @param body returns leaf::result<ExitCode>
 template <typename Body>
 ExitCode RunCommand(bool as_json, Body body) {
--- a/apps/gentianctl/main.cc
+++ b/apps/gentianctl/main.cc
@@ -1,4 +1,4 @@
-// The operators' tool.
+// gentianctl: the operators' command-line tool.
 
 #include <cstdlib>
 #include <functional>
@@ -13,7 +13,7 @@
 
 namespace ctl = gentianroute::ctl;
 
-/// What the command line fills in.
+/// Values of the command line.
 struct Arguments {
   ctl::CommonOptions common;
   std::string output = "text";
@@ -34,10 +34,10 @@
 
 void AddCommonOptions(CLI::App& app, Arguments& arguments) {
   ctl::CommonOptions& common = arguments.common;
-  app.add_option("--address", common.daemon.address, "a daemon's IP number");
-  app.add_option("--port", common.daemon.port, "its operators' port");
+  app.add_option("--address", common.daemon.address, "the daemon's IP address");
+  app.add_option("--port", common.daemon.port, "the daemon's operator port");
   app.add_option("--also", arguments.other_addresses,
-                 "one more daemon, address:port; may stand several times");
+                 "one more daemon, address:port; can be repeated");
   app.add_option("--output", arguments.output, "text or json")
       ->check(CLI::IsMember({"text", "json"}));
 }
@@ -52,24 +52,24 @@
   command.add_option("--delete", arguments.apply.deletes,
                      "a document to delete, KIND/NAME");
   command.add_flag("--prune", arguments.apply.prune,
-                   "delete every document that no file names");
+                   "delete every document that no file declares");
 }
 
 void AddChangeOptions(CLI::App& command, Arguments& arguments) {
   constexpr std::uint32_t kMaxWaitSeconds = 3600;
   ctl::ChangeOptions& change = arguments.apply.change;
-  command.add_option("--author", change.author, "who changes it");
+  command.add_option("--author", change.author, "author of the change");
   command.add_option("--change-id", change.change_id,
-                     "the id of an earlier try whose answer was lost");
+                     "id of an earlier attempt whose answer was lost");
   command
       .add_option("--wait", change.wait_s,
-                  "seconds to wait until every reachable daemon has it")
+                  "seconds to wait until every reachable daemon has the change")
       ->check(CLI::Range(1U, kMaxWaitSeconds));
 }
 
 using Command = std::function<ctl::ExitCode(const Arguments&)>;
 
-/// Declares all commands; the one that was given is left in `chosen`.
+/// Declares all commands; parsing stores the selected one in `selected`.
 void AddCommands(CLI::App& app, Arguments& arguments, Command& selected) {
   const auto add = [&](const char* name, const char* description, Command run) {
     CLI::App* command = app.add_subcommand(name, description);
@@ -85,14 +85,15 @@
       *add("diff", "show what an apply would change",
            [](const Arguments& a) { return ctl::Diff(a.common, a.apply); }),
       arguments);
-  CLI::App* apply =
-      add("apply", "put profile files in force",
-          [](const Arguments& a) { return ctl::Apply(a.common, a.apply); });
+  CLI::App* apply = add("apply", "apply profile files", [](const Arguments& a) {
+    return ctl::Apply(a.common, a.apply);
+  });
   AddPlanOptions(*apply, arguments);
   AddChangeOptions(*apply, arguments);
-  apply->add_option("--base", arguments.apply.base,
-                    "the revision that the edits began from; documents that "
-                    "changed since are a conflict");
+  apply->add_option(
+      "--base", arguments.apply.base,
+      "the revision that was edited; documents that changed since "
+      "then are a conflict");
   add("history", "list the revisions, their authors and times",
       [](const Arguments& a) { return ctl::History(a.common); });
   CLI::App* rollback =
@@ -106,22 +107,23 @@
       [](const Arguments& a) { return ctl::GetDocument(a.common, a.document); })
       ->add_option("document", arguments.document, "KIND/NAME")
       ->required();
-  add("status", "show what a daemon does",
+  add("status", "show the state of a daemon",
       [](const Arguments& a) { return ctl::Status(a.common); });
   add("drain", "stop a daemon in a planned way",
       [](const Arguments& a) { return ctl::Drain(a.common); });
   add("report", "show service levels, burn rates and cost by stage",
       [](const Arguments& a) { return ctl::Report(a.common, a.html_file); })
-      ->add_option("--html", arguments.html_file, "write a page to this file");
+      ->add_option("--html", arguments.html_file,
+                   "write an HTML page to this file");
   CLI::App* explain =
-      add("explain", "tell from daemons' logs why a request ended as it did",
+      add("explain", "explain the outcome of a request from daemon logs",
           [](const Arguments& a) {
             return ctl::Explain(a.common, a.request, a.logs);
           });
   explain->add_option("id", arguments.request, "the request's id")->required();
   explain->add_option("files", arguments.logs,
-                      "logs of any number of daemons; none: standard input");
-  add("reference", "print the table of all fields",
+                      "logs of any number of daemons; default: standard input");
+  add("reference", "print a reference table in Markdown",
       [](const Arguments& a) {
         return ctl::Reference(a.common, a.reference_table);
       })
@@ -133,7 +135,8 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-  CLI::App app{"gentianctl applies profiles and shows what the daemons do"};
+  CLI::App app{
+      "gentianctl applies profiles and shows the state of the daemons"};
   app.require_subcommand(1);
   app.fallthrough();
   app.set_version_flag("--version", "gentianctl 0.1.0");
@@ -152,9 +155,8 @@
   return ctl::RunCommand(
       arguments.common.json,
       [&]() -> gentianroute::leaf::result<ctl::ExitCode> {
-        // Before anything is sent: a change must not be made
-        // and then not be waited for because of a mistyped
-        // address.
+        // Parsed before anything is sent: a mistyped address must not fail
+        // the command after its change was applied.
         for (const std::string& text : arguments.other_addresses) {
           BOOST_LEAF_AUTO(daemon, ctl::ParseDaemonAddress(text));
           arguments.common.other_daemons.push_back(daemon);
--- a/apps/gentianctl/prepared_plan.h
+++ b/apps/gentianctl/prepared_plan.h
@@ -6,13 +6,16 @@
 
 namespace gentianroute::ctl {
 
-/// @brief What diff shows and apply does.
+/// @brief A checked plan and the configuration that it was computed from.
 struct PreparedPlan {
   CurrentConfig current;
   ChangePlan plan;
 };
 
-/// @brief Reads the files and what is in force, and checks what would be.
+/// @brief Reads the profile files and the current configuration, and computes
+/// and checks the plan. Shared by diff and apply.
+/// @return SchemaError, or Failure with kExitInvalid, kExitUnreachable or
+/// kExitFailed
 leaf::result<PreparedPlan> PreparePlan(const CommonOptions& common,
                                        const ApplyOptions& options);
 
--- a/apps/gentianctl/report.cc
+++ b/apps/gentianctl/report.cc
@@ -7,7 +7,8 @@
 namespace gentianroute::ctl {
 namespace {
 
-/// Reads what can be read; a daemon that does not answer is named.
+/// Merges the reports of the daemons that answer and lists the others.
+/// @return Failure with kExitUnreachable if none answers
 leaf::result<json> CollectReports(const CommonOptions& common) {
   std::vector<DaemonAddress> daemons = {common.daemon};
   daemons.insert(daemons.end(), common.other_daemons.begin(),
--- a/apps/gentianctl/report_merge.cc
+++ b/apps/gentianctl/report_merge.cc
@@ -111,7 +111,7 @@
   return list;
 }
 
-/// Asked daemons, and what they have heard of the others.
+/// Lists the polled daemons and the peers that they reported.
 json MergeDaemons(const std::vector<json>& reports) {
   std::map<std::string, json> daemons;
   for (const json& report : reports) {
@@ -176,7 +176,7 @@
 json MergeReports(const std::vector<json>& reports,
                   const std::vector<std::string>& unreachable) {
   const std::vector<json> unique = RemoveDuplicates(reports);
-  // Hosts that differ are judged by the strictest.
+  // Daemons with different targets are measured against the strictest one.
   double target = 0;
   for (const json& report : unique) {
     target = std::max(target, report.at("attainment_target").get<double>());
--- a/apps/gentianctl/report_merge.h
+++ b/apps/gentianctl/report_merge.h
@@ -8,23 +8,24 @@
 
 namespace gentianroute::ctl {
 
-/// @brief Adds the reports of several daemons up, and works out attainment,
-/// burn rates and each stage's share of the cost.
-/// @param reports answers of /v1/report; a daemon that stands twice counts once
-/// @param unreachable daemons that were asked and did not answer
+/// @brief Sums the reports of several daemons and computes attainment, burn
+/// rates and each stage's share of the cost.
+/// @param reports at least one response of /v1/report; of two with the same
+/// daemon name, the second is ignored
+/// @param unreachable addresses of daemons that did not answer
 json MergeReports(const std::vector<json>& reports,
                   const std::vector<std::string>& unreachable);
 
-/// @brief A window's name, like `5 min` or `3 d`.
+/// @brief Formats the length of a window, like `5 min` or `3 d`.
 std::string FormatWindow(std::int64_t seconds);
 
-/// @brief A share as a percentage with two decimals.
+/// @brief Formats a share as a percentage with two decimals.
 std::string FormatPercent(double share);
 
-/// @brief Micro-euros as euros.
+/// @brief Formats micro-euros as euros with six decimals.
 std::string FormatEuros(std::int64_t micros);
 
-/// @brief A number with two decimals.
+/// @brief Formats a number with two decimals.
 std::string FormatTwoDecimals(double value);
 
 }  // namespace gentianroute::ctl
--- a/apps/gentianctl/report_page.cc
+++ b/apps/gentianctl/report_page.cc
@@ -61,7 +61,7 @@
   bool bad = false;
 };
 
-/// Each bar has its name above it, so that long names fit a phone.
+/// Each bar has its name above it, so that long names fit a phone screen.
 std::string BarPlot(const std::string& title,
                     const std::vector<Bar>& bars,
                     double limit) {
@@ -100,8 +100,8 @@
   return svg + "</svg>\n";
 }
 
-/// One bar for each service, of the window that burns fastest; the table below
-/// has all windows.
+/// One bar per service with the highest burn rate of its windows; the table
+/// below shows all windows.
 std::string BurnPlot(const json& merged) {
   std::vector<Bar> bars;
   for (const json& service : merged.at("services")) {
--- a/apps/gentianctl/report_tables.cc
+++ b/apps/gentianctl/report_tables.cc
@@ -88,11 +88,12 @@
 std::string ReportSummary(const json& merged) {
   return "Service levels at " + FormatTime(merged.at("at_unix_micros")) +
          ", target " + FormatPercent(merged.at("attainment_target")) +
-         " answered whole within the deadline. A burn rate above 1 spends the "
-         "error budget too fast. Hosts keep nothing: each daemon counts since "
-         "its own start; only the burn over 6 h and 3 d goes on from what its "
-         "host last saved with the platform, up to ten minutes ago. Only the "
-         "daemons that were asked are added up.";
+         " answered in full within the deadline. A burn rate above 1 spends "
+         "the "
+         "error budget too fast. Hosts store nothing: each daemon counts since "
+         "its own start; only the burn rates over 6 h and 3 d continue from "
+         "what its host last saved with the platform, up to ten minutes ago. "
+         "Only the daemons that were asked are included.";
 }
 
 }  // namespace gentianroute::ctl
--- a/apps/gentianctl/report_tables.h
+++ b/apps/gentianctl/report_tables.h
@@ -8,19 +8,20 @@
 
 namespace gentianroute::ctl {
 
-/// @brief One part of the report, alike for terminal and page.
+/// @brief One table of the report, for the terminal and the HTML page.
 struct ReportTable {
   std::string title;
-  std::vector<std::vector<std::string>> rows;  ///< the first is the heading
+  std::vector<std::vector<std::string>> rows;  ///< the first is the header
 };
 
+/// @brief The tables of the report, in the order of output.
 /// @param merged from MergeReports()
 std::vector<ReportTable> ReportTables(const json& merged);
 
-/// @brief One sentence: target, and what the figures reach back to.
+/// @brief Explains the target and the time that the figures cover.
 std::string ReportSummary(const json& merged);
 
-/// @brief The whole report as one HTML page that needs nothing else.
+/// @brief The report as one HTML page without external resources.
 std::string ReportPage(const json& merged);
 
 }  // namespace gentianroute::ctl
--- a/apps/gentianctl/rollout.cc
+++ b/apps/gentianctl/rollout.cc
@@ -26,7 +26,7 @@
                   (reachable ? "" : ", out of reach") + "\n";
 }
 
-/// A daemon that is asked and does not answer has not got the revision.
+/// Polls one daemon; without an answer it counts as reachable and lagging.
 void QueryDaemon(RolloutStatus& rollout,
                  std::uint64_t expected_revision,
                  const DaemonAddress& daemon,
--- a/apps/gentianctl/rollout.h
+++ b/apps/gentianctl/rollout.h
@@ -9,22 +9,23 @@
 
 namespace gentianroute::ctl {
 
-/// @brief Which daemons have a revision in force.
+/// @brief Progress of a revision across the daemons.
 struct RolloutStatus {
-  bool in_force_everywhere = false;  ///< at every daemon that can be reached
-  json daemons = json::array();
-  std::string text;  ///< one line a daemon
+  bool in_force_everywhere = false;  ///< at every reachable daemon
+  json daemons = json::array();      ///< one object per daemon
+  std::string text;                  ///< one line per daemon
 };
 
-/// @brief Polls until every reachable daemon has a revision in force.
+/// @brief Polls until every reachable daemon has a revision in force, or until
+/// the timeout.
 ///
-/// One daemon is enough to ask: it tells the revision that each peer last
-/// reported. A peer that it has not heard from for a while counts as out of
-/// reach; one that it has yet to hear from does not, so that a daemon that just
-/// started can't report success for peers it knows nothing of. The daemons
-/// named by --also are asked themselves and must answer. A change that stands
-/// must never look as if it failed, so a daemon that does not answer is a
-/// daemon that lags, not an error.
+/// Polls one daemon, which reports the last known revision of each peer. A peer
+/// that has been silent for a while counts as unreachable; a peer that the
+/// daemon has never heard from counts as reachable, so that a daemon that has
+/// just started can't report success for peers that it knows nothing about. The
+/// daemons named by --also are polled directly and must answer. A daemon that
+/// does not answer counts as lagging and is no error: an applied change must
+/// never look as if it had failed.
 RolloutStatus WaitForRollout(const CommonOptions& common,
                              std::uint64_t revision,
                              std::chrono::seconds timeout);
--- a/apps/gentianctl/status.cc
+++ b/apps/gentianctl/status.cc
@@ -21,7 +21,7 @@
          ", " + FieldText(status, "region") + "): " + state + ", revision " +
          FieldText(status, "revision") + " in force, highest heard of " +
          FieldText(status, "highest_heard") +
-         "\nrequests: " + FieldText(status, "submitted") + " taken, " +
+         "\nrequests: " + FieldText(status, "submitted") + " submitted, " +
          FieldText(status, "answered") + " answered, " +
          FieldText(status, "failed") + " failed, " +
          FieldText(status, "active") + " running, " +
--- a/apps/gentianctl/submit.cc
+++ b/apps/gentianctl/submit.cc
@@ -34,7 +34,8 @@
           {"changes", std::move(changes)}};
 }
 
-/// Both sides of a conflict that the daemon found.
+/// Builds the error for a conflict that the daemon detected, with both versions
+/// if the history tells them.
 leaf::result<std::uint64_t> DescribeConflict(const CommonOptions& common,
                                              const ChangePlan& plan,
                                              std::uint64_t base_revision,
@@ -55,14 +56,15 @@
       CallDaemon(common.daemon, "POST", "/v1/apply",
                  ChangeRequestJson(plan, author, change_id).dump());
   if (!result.complete || result.status == kUnavailable) {
-    // The change may be in the log although its answer was lost; the id makes
-    // a second try the same change.
-    return leaf::new_error(Failure{
-        kExitUnreachable,
-        (result.complete ? ProblemText(result) : result.detail) +
-            "\nThe change may or may not stand. Try again with --change-id " +
-            change_id,
-        {{"change_id", change_id}}});
+    // The change may have been applied although its answer was lost; with the
+    // same id a retry is the same change.
+    return leaf::new_error(
+        Failure{kExitUnreachable,
+                (result.complete ? ProblemText(result) : result.detail) +
+                    "\nThe change may or may not have been applied. Retry with "
+                    "--change-id " +
+                    change_id,
+                {{"change_id", change_id}}});
   }
   if (result.status == kConflict) {
     return DescribeConflict(common, plan, base_revision, result);
@@ -73,7 +75,7 @@
   return json::parse(result.body).at("revision").get<std::uint64_t>();
 }
 
-/// What became of a change, with `daemons` if it was waited for.
+/// Result of a change before the rollout.
 struct SubmitOutcome {
   std::uint64_t revision = 0;
   bool changed = false;
@@ -91,7 +93,7 @@
         FindRevisionByChangeId(history, change_id);
     if (applied_revision != 0) {
       return SubmitOutcome{applied_revision, false,
-                           "this change stands already, as revision " +
+                           "this change was already applied, as revision " +
                                std::to_string(applied_revision)};
     }
   }
--- a/apps/gentianctl/submit.h
+++ b/apps/gentianctl/submit.h
@@ -6,18 +6,20 @@
 
 namespace gentianroute::ctl {
 
-/// @brief Puts a plan in force, prints what became of it and waits if asked.
+/// @brief Applies a plan, prints the result and waits for the rollout if asked
+/// to.
 ///
-/// An empty plan makes no revision. A change id that is in the log already is
-/// settled: its revision is reported and nothing is sent.
-/// @return Failure with kExitConflict, kExitUnreachable (with the change id to
-/// try again with), kExitTimeout or kExitFailed
+/// An empty plan creates no revision. If the change id was already applied, its
+/// revision is reported and nothing is sent.
+/// @return kExitTimeout if the rollout is not complete in time; Failure with
+/// kExitConflict, kExitUnreachable (with the change id for a retry) or
+/// kExitFailed
 leaf::result<ExitCode> Submit(const CommonOptions& common,
                               const ChangePlan& plan,
                               const CurrentConfig& current,
                               const ChangeOptions& options);
 
-/// @brief The revision that a change id stands as.
+/// @brief Finds the revision that a change id was applied as.
 /// @return 0 if the history does not have it
 std::uint64_t FindRevisionByChangeId(const std::vector<ConfigRevision>& history,
                                      const std::string& change_id);
--- a/apps/gentianctl/text_table.h
+++ b/apps/gentianctl/text_table.h
@@ -6,7 +6,8 @@
 
 namespace gentianroute::ctl {
 
-/// @brief Rows as lines with aligned columns; the first row is the heading.
+/// @brief Formats rows as lines with aligned columns; the first row is the
+/// header.
 std::string TextTable(const std::vector<std::vector<std::string>>& rows);
 
 }  // namespace gentianroute::ctl
