--- a/standins/backend.cc
+++ b/standins/backend.cc
@@ -15,10 +15,10 @@
 using std::chrono::milliseconds;
 
 constexpr int kUnavailable = 503;
-constexpr std::uint32_t kSkippedToken = 3;  // each third one
-constexpr std::size_t kPrefixCharacters = 64;
+constexpr std::uint32_t kFaultTokenInterval = 3;  // each third one
+constexpr std::size_t kPrefixBytes = 64;
 // Lets what was written leave the socket before it is closed.
-constexpr auto kBeforeAbort = milliseconds(20);
+constexpr auto kAbortDelay = milliseconds(20);
 
 /// A text field of the caller's request.
 std::string RequestField(const HttpRequest& request, const char* name) {
@@ -33,7 +33,7 @@
 
 /// The key of a prefix in cache events; see docs/BACKENDS.md.
 std::string PrefixKey(std::string_view text) {
-  const std::string_view prefix = text.substr(0, kPrefixCharacters);
+  const std::string_view prefix = text.substr(0, kPrefixBytes);
   char key[17];
   std::snprintf(key, sizeof(key), "%016llx",
                 static_cast<unsigned long long>(
@@ -47,7 +47,7 @@
   std::shared_ptr<HttpResponder> responder;
   std::uint64_t attempt = 0;
   std::uint64_t offset = 0;
-  bool gone = false;
+  bool disconnected = false;
 };
 
 Backend::Backend(EventLoop& loop, Options options)
@@ -70,10 +70,10 @@
 void Backend::OnRequest(const HttpRequest& request,
                         const std::shared_ptr<HttpResponder>& responder) {
   if (request.path.starts_with("/control/")) {
-    Control(request, *responder);
+    HandleControl(request, *responder);
     return;
   }
-  if (Unreachable(request, *responder)) {
+  if (ApplyConnectionFault(request, *responder)) {
     return;
   }
   if (request.path == "/v1/state") {
@@ -81,14 +81,14 @@
     return;
   }
   if (request.path == "/v1/orders") {
-    Order(request, *responder);
+    HandleOrder(request, *responder);
     return;
   }
-  if (Refused(request, *responder)) {
+  if (RejectByFault(request, *responder)) {
     return;
   }
   if (request.path == "/v1/cache-events") {
-    CacheEvents(request, *responder);
+    HandleCacheEvents(request, *responder);
     return;
   }
   CountRun(request);
@@ -97,27 +97,28 @@
     std::abort();
   }
   if (request.path == "/v1/generate") {
-    Generate(request, responder);
+    HandleGenerate(request, responder);
   } else {
-    Run(request, responder);
+    HandleRun(request, responder);
   }
 }
 
-void Backend::Order(const HttpRequest& request, HttpResponder& responder) {
+void Backend::HandleOrder(const HttpRequest& request,
+                          HttpResponder& responder) {
   const json order = json::parse(request.body);
   const std::uint64_t fencing = order.at("fencing");
-  if (options_.checks_fencing && fencing < fencing_) {
-    responder.Send({409, {}, json{{"fencing", fencing_}}.dump()});
+  if (options_.checks_fencing && fencing < last_fencing_number_) {
+    responder.Send({409, {}, json{{"fencing", last_fencing_number_}}.dump()});
     return;
   }
-  fencing_ = fencing;
+  last_fencing_number_ = fencing;
   state_ = order.at("desired");
   responder.Send({200, {}, "{}"});
 }
 
-bool Backend::Unreachable(const HttpRequest& request,
-                          HttpResponder& responder) const {
-  if (faults_.Silent(request.connection_id)) {
+bool Backend::ApplyConnectionFault(const HttpRequest& request,
+                                   HttpResponder& responder) const {
+  if (faults_.IsSilent(request.connection_id)) {
     return true;
   }
   if (faults_.outage) {
@@ -127,11 +128,11 @@
   return false;
 }
 
-bool Backend::Refused(const HttpRequest& request,
-                      HttpResponder& responder) const {
+bool Backend::RejectByFault(const HttpRequest& request,
+                            HttpResponder& responder) const {
   const bool full =
       faults_.max_in_flight > 0 && in_flight_ >= faults_.max_in_flight;
-  HttpHeaders headers = AnswerHeaders(request);
+  HttpHeaders headers = ResponseHeaders(request);
   if (faults_.refuse || faults_.leaving || full) {
     headers.push_back({"x-not-run", "1"});
     if (faults_.leaving) {
@@ -160,7 +161,8 @@
   }
 }
 
-void Backend::Control(const HttpRequest& request, HttpResponder& responder) {
+void Backend::HandleControl(const HttpRequest& request,
+                            HttpResponder& responder) {
   if (request.path == "/control/faults") {
     faults_.Update(json::parse(request.body), request.connection_id);
     responder.Send({200, {}, "{}"});
@@ -173,7 +175,7 @@
   responder.Send({200, {}, counts.dump()});
 }
 
-HttpHeaders Backend::AnswerHeaders(const HttpRequest& request) const {
+HttpHeaders Backend::ResponseHeaders(const HttpRequest& request) const {
   const std::uint64_t attempt =
       ParseLeadingNumber(FindHeader(request.headers, "x-attempt-id"));
   const std::uint32_t load =
@@ -184,20 +186,20 @@
           {"x-load", std::to_string(load)}};
 }
 
-void Backend::Run(const HttpRequest& request,
-                  const std::shared_ptr<HttpResponder>& responder) {
+void Backend::HandleRun(const HttpRequest& request,
+                        const std::shared_ptr<HttpResponder>& responder) {
   ++in_flight_;
   const std::string stage(FindHeader(request.headers, "x-stage"));
   loop_.After(milliseconds(options_.service_ms + faults_.delay_ms),
-              [this, responder, stage, headers = AnswerHeaders(request)] {
+              [this, responder, stage, headers = ResponseHeaders(request)] {
                 --in_flight_;
-                AnswerRun(responder, headers, stage);
+                SendRunResponse(responder, headers, stage);
               });
 }
 
-void Backend::AnswerRun(const std::shared_ptr<HttpResponder>& responder,
-                        HttpHeaders headers,
-                        const std::string& stage) {
+void Backend::SendRunResponse(const std::shared_ptr<HttpResponder>& responder,
+                              HttpHeaders headers,
+                              const std::string& stage) {
   if (faults_.lose_answers) {
     return;
   }
@@ -209,14 +211,14 @@
   if (faults_.truncate) {
     responder->Begin(200, std::move(headers));
     responder->Write(body.dump().substr(0, 4));
-    loop_.After(kBeforeAbort, [responder] { responder->Abort(); });
+    loop_.After(kAbortDelay, [responder] { responder->Abort(); });
     return;
   }
   responder->Send({200, std::move(headers), body.dump()});
 }
 
-void Backend::Generate(const HttpRequest& request,
-                       const std::shared_ptr<HttpResponder>& responder) {
+void Backend::HandleGenerate(const HttpRequest& request,
+                             const std::shared_ptr<HttpResponder>& responder) {
   ++in_flight_;
   auto stream = std::make_shared<Stream>();
   stream->responder = responder;
@@ -225,23 +227,24 @@
   stream->attempt += faults_.crossed ? 1 : 0;
   stream->offset =
       ParseLeadingNumber(FindHeader(request.headers, "x-resume-offset"));
-  responder->SetOnDisconnect([stream] { stream->gone = true; });
-  HttpHeaders headers = AnswerHeaders(request);
+  responder->SetOnDisconnect([stream] { stream->disconnected = true; });
+  HttpHeaders headers = ResponseHeaders(request);
   headers.front().value = "text/event-stream";
-  loop_.After(TimeToFirstToken(request),
+  loop_.After(LoadPrefix(request),
               [this, stream, headers = std::move(headers)] {
                 stream->responder->Begin(200, headers);
-                NextToken(stream);
+                SendNextToken(stream);
               });
 }
 
-Duration Backend::TimeToFirstToken(const HttpRequest& request) {
+Duration Backend::LoadPrefix(const HttpRequest& request) {
   std::string prefix = RequestField(request, "conversation");
   if (prefix.empty()) {
     prefix = RequestField(request, "prompt");
   }
-  const std::uint32_t nth = faults_.lose_cache_events;
-  const bool lost = nth > 0 && (cache_.last_sequence() + 1) % nth == 0;
+  const std::uint32_t lose_every = faults_.lose_cache_events;
+  const bool lost =
+      lose_every > 0 && (cache_.last_sequence() + 1) % lose_every == 0;
   if (cache_.Touch(PrefixKey(prefix), lost)) {
     ++cache_hits_;
     return Duration{0};
@@ -249,28 +252,28 @@
   return milliseconds(options_.prefill_ms);
 }
 
-void Backend::CacheEvents(const HttpRequest& request,
-                          HttpResponder& responder) const {
-  constexpr std::string_view kAfter = "after=";
+void Backend::HandleCacheEvents(const HttpRequest& request,
+                                HttpResponder& responder) const {
+  constexpr std::string_view kAfterParameter = "after=";
   const std::string_view query = request.query;
   const std::uint64_t after =
-      query.starts_with(kAfter)
-          ? ParseLeadingNumber(query.substr(kAfter.size()))
+      query.starts_with(kAfterParameter)
+          ? ParseLeadingNumber(query.substr(kAfterParameter.size()))
           : 0;
   const json body = {{"incarnation", incarnation_},
                      {"events", cache_.EventsAfter(after)}};
   responder.Send({200, {{"content-type", "application/json"}}, body.dump()});
 }
 
-void Backend::NextToken(const std::shared_ptr<Stream>& stream) {
-  if (stream->gone) {  // the caller closed the connection: cancelled
+void Backend::SendNextToken(const std::shared_ptr<Stream>& stream) {
+  if (stream->disconnected) {  // the caller closed the connection: cancelled
     --in_flight_;
     ++cancelled_;
     return;
   }
   if (faults_.cut_at_token != 0 && stream->offset >= faults_.cut_at_token) {
     --in_flight_;
-    loop_.After(kBeforeAbort, [stream] { stream->responder->Abort(); });
+    loop_.After(kAbortDelay, [stream] { stream->responder->Abort(); });
     return;
   }
   if (stream->offset >= options_.tokens) {
@@ -285,18 +288,19 @@
   WriteToken(*stream);
   ++stream->offset;
   loop_.After(milliseconds(options_.token_ms + faults_.delay_ms),
-              [this, stream] { NextToken(stream); });
+              [this, stream] { SendNextToken(stream); });
 }
 
 void Backend::WriteToken(const Stream& stream) const {
-  const bool chosen = stream.offset % kSkippedToken == kSkippedToken - 1;
-  if (faults_.skip_tokens && chosen) {
+  const bool affected =
+      stream.offset % kFaultTokenInterval == kFaultTokenInterval - 1;
+  if (faults_.skip_tokens && affected) {
     return;
   }
   json token = {{"attempt", stream.attempt},
                 {"offset", stream.offset},
                 {"text", "w" + std::to_string(stream.offset) + " "}};
-  if (faults_.null_tokens && chosen) {
+  if (faults_.null_tokens && affected) {
     token["text"] = nullptr;
   }
   const std::string event = "data: " + token.dump() + "\n\n";
--- a/standins/backend.h
+++ b/standins/backend.h
@@ -36,30 +36,33 @@
  private:
   struct Stream;
 
-  using Counts = std::map<std::string, std::uint64_t>;
+  using RunCounts = std::map<std::string, std::uint64_t>;
 
   void OnRequest(const HttpRequest& request,
                  const std::shared_ptr<HttpResponder>& responder);
-  void Order(const HttpRequest& request, HttpResponder& responder);
-  void Control(const HttpRequest& request, HttpResponder& responder);
-  void Run(const HttpRequest& request,
-           const std::shared_ptr<HttpResponder>& responder);
-  void Generate(const HttpRequest& request,
-                const std::shared_ptr<HttpResponder>& responder);
-  void CacheEvents(const HttpRequest& request, HttpResponder& responder) const;
-  void NextToken(const std::shared_ptr<Stream>& stream);
+  void HandleOrder(const HttpRequest& request, HttpResponder& responder);
+  void HandleControl(const HttpRequest& request, HttpResponder& responder);
+  void HandleRun(const HttpRequest& request,
+                 const std::shared_ptr<HttpResponder>& responder);
+  void HandleGenerate(const HttpRequest& request,
+                      const std::shared_ptr<HttpResponder>& responder);
+  void HandleCacheEvents(const HttpRequest& request,
+                         HttpResponder& responder) const;
+  void SendNextToken(const std::shared_ptr<Stream>& stream);
   /// @return true if the present faults leave the request without an answer
-  bool Unreachable(const HttpRequest& request, HttpResponder& responder) const;
+  bool ApplyConnectionFault(const HttpRequest& request,
+                            HttpResponder& responder) const;
   /// Ends the request as the present faults say, before it runs.
   /// @return false if it is to run
-  bool Refused(const HttpRequest& request, HttpResponder& responder) const;
+  bool RejectByFault(const HttpRequest& request,
+                     HttpResponder& responder) const;
   void CountRun(const HttpRequest& request);
-  void AnswerRun(const std::shared_ptr<HttpResponder>& responder,
-                 HttpHeaders headers,
-                 const std::string& stage);
+  void SendRunResponse(const std::shared_ptr<HttpResponder>& responder,
+                       HttpHeaders headers,
+                       const std::string& stage);
   void WriteToken(const Stream& stream) const;
-  Duration TimeToFirstToken(const HttpRequest& request);
-  HttpHeaders AnswerHeaders(const HttpRequest& request) const;
+  Duration LoadPrefix(const HttpRequest& request);
+  HttpHeaders ResponseHeaders(const HttpRequest& request) const;
 
   EventLoop& loop_;
   Options options_;
@@ -67,8 +70,8 @@
   std::uint64_t incarnation_;  ///< time of the start
   std::uint32_t in_flight_ = 0;
   std::uint64_t runs_ = 0;
-  Counts runs_by_key_;
-  Counts runs_by_marker_;
+  RunCounts runs_by_key_;
+  RunCounts runs_by_marker_;
   std::uint64_t cancelled_ = 0;
   std::uint64_t cache_hits_ = 0;
   std::uint32_t reported_load_ = 0;
@@ -77,7 +80,7 @@
                            {"version", ""},
                            {"adapters", nlohmann::json::array()},
                            {"role", ""}};
-  std::uint64_t fencing_ = 0;
+  std::uint64_t last_fencing_number_ = 0;
   HttpServer server_;
 };
 
--- a/standins/faults.h
+++ b/standins/faults.h
@@ -17,7 +17,7 @@
   std::uint32_t max_in_flight = 0;  ///< refuses more as not run; 0: no limit
   std::uint32_t cut_at_token = 0;   ///< closes at this offset; 0: never
   /// Connections up to this number are silent; newer ones work.
-  std::uint64_t silent_up_to = 0;
+  std::uint64_t last_silent_connection = 0;
   /// Each event of this many is not published; 0: all are.
   std::uint32_t lose_cache_events = 0;
   bool silent = false;         ///< takes requests and never answers
@@ -40,8 +40,8 @@
   void Update(const nlohmann::json& body, std::uint64_t connection);
 
   /// @brief Whether a request on this connection is never answered.
-  bool Silent(std::uint64_t connection) const {
-    return silent || connection <= silent_up_to;
+  bool IsSilent(std::uint64_t connection) const {
+    return silent || connection <= last_silent_connection;
   }
 };
 
--- a/standins/platform.cc
+++ b/standins/platform.cc
@@ -8,18 +8,18 @@
 
 using nlohmann::json;
 
-constexpr std::string_view kObjects = "/v1/objects/";
-constexpr std::string_view kHosts = "/v1/hosts";
+constexpr std::string_view kObjectsPath = "/v1/objects/";
+constexpr std::string_view kHostsPath = "/v1/hosts";
 
 HttpResponse JsonResponse(int status, const json& body) {
   return {status, {{"content-type", "application/json"}}, body.dump()};
 }
 
-std::uint64_t SizeOf(const HttpHeaders& headers) {
-  constexpr std::size_t kSeparators = 4;  // ": " and the line's end
+std::uint64_t HeaderBytes(const HttpHeaders& headers) {
+  constexpr std::size_t kSeparatorBytes = 4;  // ": " and the line's end
   std::uint64_t size = 0;
   for (const HttpHeader& header : headers) {
-    size += header.name.size() + header.value.size() + kSeparators;
+    size += header.name.size() + header.value.size() + kSeparatorBytes;
   }
   return size;
 }
@@ -55,7 +55,7 @@
                                        {"whole_lists", traffic_.whole_lists}}));
     return;
   }
-  if (faults_.Silent(request.connection_id)) {
+  if (faults_.IsSilent(request.connection_id)) {
     return;
   }
   if (faults_.outage) {
@@ -67,8 +67,8 @@
         JsonResponse(static_cast<int>(faults_.error_status), json::object()));
     return;
   }
-  const HttpResponse response = Answer(request);
-  Count(request, response);
+  const HttpResponse response = HandleCall(request);
+  CountTraffic(request, response);
   if (faults_.lose_answers) {
     return;
   }
@@ -76,19 +76,19 @@
               [responder, response] { responder->Send(response); });
 }
 
-HttpResponse Platform::Answer(const HttpRequest& request) {
+HttpResponse Platform::HandleCall(const HttpRequest& request) {
   try {
     if (request.path == "/v1/transact") {
-      return Transact(json::parse(request.body));
+      return HandleTransact(json::parse(request.body));
     }
     if (request.path == "/v1/read") {
-      return Read(json::parse(request.body));
+      return HandleRead(json::parse(request.body));
     }
-    if (request.path == kHosts) {
-      return ListHosts(request);
+    if (request.path == kHostsPath) {
+      return HandleListHosts(request);
     }
-    if (request.path.starts_with(kObjects)) {
-      return Object(request);
+    if (request.path.starts_with(kObjectsPath)) {
+      return HandleObject(request);
     }
   } catch (const json::exception& error) {
     return JsonResponse(400, {{"error", error.what()}});
@@ -96,46 +96,47 @@
   return JsonResponse(404, {{"error", "no such path"}});
 }
 
-void Platform::Count(const HttpRequest& request, const HttpResponse& response) {
+void Platform::CountTraffic(const HttpRequest& request,
+                            const HttpResponse& response) {
   ++traffic_.requests;
   traffic_.bytes_in += request.method.size() + request.path.size() +
-                       SizeOf(request.headers) + request.body.size();
-  traffic_.bytes_out += SizeOf(response.headers) + response.body.size();
-  if (request.path == kHosts && response.status == 200) {
+                       HeaderBytes(request.headers) + request.body.size();
+  traffic_.bytes_out += HeaderBytes(response.headers) + response.body.size();
+  if (request.path == kHostsPath && response.status == 200) {
     ++traffic_.whole_lists;
   }
 }
 
-HttpResponse Platform::ListHosts(const HttpRequest& request) const {
-  HttpResponse whole = JsonResponse(200, {{"hosts", hosts_}});
+HttpResponse Platform::HandleListHosts(const HttpRequest& request) const {
+  HttpResponse response = JsonResponse(200, {{"hosts", hosts_}});
   if (faults_.no_entity_tag) {
-    return whole;
+    return response;
   }
-  const std::string tag = "\"" + std::to_string(hosts_version_) + "\"";
-  if (FindHeader(request.headers, "if-none-match") == tag) {
-    return {304, {{"etag", tag}}, ""};
+  const std::string entity_tag = "\"" + std::to_string(hosts_version_) + "\"";
+  if (FindHeader(request.headers, "if-none-match") == entity_tag) {
+    return {304, {{"etag", entity_tag}}, ""};
   }
-  whole.headers.push_back({"etag", tag});
-  return whole;
+  response.headers.push_back({"etag", entity_tag});
+  return response;
 }
 
-json Platform::Describe(const RowKey& key) const {
+json Platform::DescribeRow(const RowKey& key) const {
   const auto row = rows_.find(key);
-  const bool present = row != rows_.end();
+  const bool exists = row != rows_.end();
   return {{"table", key.first},
           {"key", key.second},
-          {"value", present ? row->second.value : json(nullptr)},
-          {"version", present ? row->second.version : 0}};
+          {"value", exists ? row->second.value : json(nullptr)},
+          {"version", exists ? row->second.version : 0}};
 }
 
-HttpResponse Platform::Transact(const json& body) {
+HttpResponse Platform::HandleTransact(const json& body) {
   json conflicts = json::array();
   for (const json& condition : body.at("conditions")) {
     const RowKey key{condition.at("table"), condition.at("key")};
     const auto row = rows_.find(key);
     const std::uint64_t version = row == rows_.end() ? 0 : row->second.version;
     if (version != condition.at("version").get<std::uint64_t>()) {
-      conflicts.push_back(Describe(key));
+      conflicts.push_back(DescribeRow(key));
     }
   }
   if (!conflicts.empty()) {
@@ -155,16 +156,16 @@
   return JsonResponse(200, {{"versions", versions}});
 }
 
-HttpResponse Platform::Read(const json& body) const {
+HttpResponse Platform::HandleRead(const json& body) const {
   json rows = json::array();
   for (const json& key : body.at("keys")) {
-    rows.push_back(Describe({key.at("table"), key.at("key")}));
+    rows.push_back(DescribeRow({key.at("table"), key.at("key")}));
   }
   return JsonResponse(200, {{"rows", rows}});
 }
 
-HttpResponse Platform::Object(const HttpRequest& request) {
-  const std::string name = request.path.substr(kObjects.size());
+HttpResponse Platform::HandleObject(const HttpRequest& request) {
+  const std::string name = request.path.substr(kObjectsPath.size());
   if (request.method == "PUT") {
     objects_[name] = request.body;
     return JsonResponse(200, json::object());
--- a/standins/platform.h
+++ b/standins/platform.h
@@ -38,13 +38,13 @@
 
   void OnRequest(const HttpRequest& request,
                  const std::shared_ptr<HttpResponder>& responder);
-  HttpResponse Answer(const HttpRequest& request);
-  HttpResponse Transact(const nlohmann::json& body);
-  HttpResponse Read(const nlohmann::json& body) const;
-  HttpResponse Object(const HttpRequest& request);
-  HttpResponse ListHosts(const HttpRequest& request) const;
-  void Count(const HttpRequest& request, const HttpResponse& response);
-  nlohmann::json Describe(const RowKey& key) const;
+  HttpResponse HandleCall(const HttpRequest& request);
+  HttpResponse HandleTransact(const nlohmann::json& body);
+  HttpResponse HandleRead(const nlohmann::json& body) const;
+  HttpResponse HandleObject(const HttpRequest& request);
+  HttpResponse HandleListHosts(const HttpRequest& request) const;
+  void CountTraffic(const HttpRequest& request, const HttpResponse& response);
+  nlohmann::json DescribeRow(const RowKey& key) const;
 
   EventLoop& loop_;
   Faults faults_;
--- a/standins/prefix_cache.h
+++ b/standins/prefix_cache.h
@@ -23,8 +23,8 @@
   /// @return whether it was held
   bool Touch(const std::string& prefix, bool lost) {
     const auto found = std::ranges::find(prefixes_, prefix);
-    const bool held = found != prefixes_.end();
-    if (held) {
+    const bool cached = found != prefixes_.end();
+    if (cached) {
       prefixes_.erase(found);
     }
     prefixes_.push_front(prefix);
@@ -33,13 +33,13 @@
       removed.push_back(prefixes_.back());
       prefixes_.pop_back();
     }
-    if (!held) {
+    if (!cached) {
       Publish(prefix, std::move(removed), lost);
     }
-    return held;
+    return cached;
   }
 
-  std::uint64_t last_sequence() const { return sequence_; }
+  std::uint64_t last_sequence() const { return last_sequence_; }
 
   /// @brief Events numbered above `after`, oldest first.
   nlohmann::json EventsAfter(std::uint64_t after) const {
@@ -53,17 +53,17 @@
   }
 
  private:
-  static constexpr std::size_t kEventsKept = 256;
+  static constexpr std::size_t kMaxEvents = 256;
 
   void Publish(const std::string& added, nlohmann::json removed, bool lost) {
-    ++sequence_;
+    ++last_sequence_;
     if (lost) {
       return;
     }
-    events_.push_back({{"sequence", sequence_},
+    events_.push_back({{"sequence", last_sequence_},
                        {"added", nlohmann::json::array({added})},
                        {"removed", std::move(removed)}});
-    if (events_.size() > kEventsKept) {
+    if (events_.size() > kMaxEvents) {
       events_.pop_front();
     }
   }
@@ -71,7 +71,7 @@
   std::size_t capacity_;
   std::list<std::string> prefixes_;
   std::deque<nlohmann::json> events_;
-  std::uint64_t sequence_ = 0;
+  std::uint64_t last_sequence_ = 0;
 };
 
 }  // namespace gentianroute::standin
