--- a/standins/backend.cc
+++ b/standins/backend.cc
@@ -15,12 +15,13 @@
 using std::chrono::milliseconds;
 
 constexpr int kUnavailable = 503;
-constexpr std::uint32_t kFaultTokenInterval = 3;  // each third one
+constexpr std::uint32_t kFaultTokenInterval = 3;
 constexpr std::size_t kPrefixBytes = 64;
-// Lets what was written leave the socket before it is closed.
+// Lets written data leave the socket before the connection is aborted.
 constexpr auto kAbortDelay = milliseconds(20);
 
-/// A text field of the caller's request.
+/// A string field of the caller's request.
+/// @return empty if it is missing or no string
 std::string RequestField(const HttpRequest& request, const char* name) {
   const json body = json::parse(request.body, nullptr, false);
   if (!body.is_object() || !body.contains("request") ||
@@ -31,7 +32,8 @@
   return body["request"][name];
 }
 
-/// The key of a prefix in cache events; see docs/BACKENDS.md.
+/// Hashes the first bytes of a prompt to its key in cache events; see
+/// docs/BACKENDS.md.
 std::string PrefixKey(std::string_view text) {
   const std::string_view prefix = text.substr(0, kPrefixBytes);
   char key[17];
@@ -266,7 +268,7 @@
 }
 
 void Backend::SendNextToken(const std::shared_ptr<Stream>& stream) {
-  if (stream->disconnected) {  // the caller closed the connection: cancelled
+  if (stream->disconnected) {  // a closed connection cancels the call
     --in_flight_;
     ++cancelled_;
     return;
--- a/standins/backend.h
+++ b/standins/backend.h
@@ -14,20 +14,23 @@
 
 namespace gentianroute::standin {
 
-/// @brief Stands in for a backend server: a plain service on /v1/run and a
-/// model engine on /v1/generate. The protocol is in docs/BACKENDS.md.
+/// @brief Stand-in for a backend server: a plain service on /v1/run and a model
+/// engine on /v1/generate. docs/BACKENDS.md describes the protocol.
 class Backend {
  public:
   struct Options {
     std::uint16_t port = 0;
     std::string name = "backend";
-    std::uint32_t service_ms = 5;  ///< of one call of /v1/run
+    std::uint32_t service_ms = 5;  ///< duration of a call of /v1/run
     std::uint32_t token_ms = 2;    ///< between tokens of /v1/generate
-    std::uint32_t tokens = 16;     ///< of one answer
-    bool checks_fencing = false;   ///< refuses an order with an old number
-    std::uint32_t prefill_ms = 0;  ///< before the first token, if not cached
-    std::uint32_t cache_entries = 64;  ///< prompt prefixes that are held
-    std::uint32_t load_lag_ms = 0;     ///< age that reported load may have
+    std::uint32_t tokens = 16;     ///< generated per response
+    bool checks_fencing =
+        false;  ///< rejects orders with a stale fencing number
+    std::uint32_t prefill_ms =
+        0;  ///< before the first token of an uncached prompt
+    std::uint32_t cache_entries = 64;  ///< prompt prefixes that the cache holds
+    /// Interval at which the reported load is updated; 0: it is always current.
+    std::uint32_t load_lag_ms = 0;
   };
 
   Backend(EventLoop& loop, Options options);
@@ -49,11 +52,12 @@
   void HandleCacheEvents(const HttpRequest& request,
                          HttpResponder& responder) const;
   void SendNextToken(const std::shared_ptr<Stream>& stream);
-  /// @return true if the present faults leave the request without an answer
+  /// Leaves the request without a response if the present faults say so.
+  /// @return true if it did
   bool ApplyConnectionFault(const HttpRequest& request,
                             HttpResponder& responder) const;
-  /// Ends the request as the present faults say, before it runs.
-  /// @return false if it is to run
+  /// Rejects the request before it runs if the present faults say so.
+  /// @return true if it did
   bool RejectByFault(const HttpRequest& request,
                      HttpResponder& responder) const;
   void CountRun(const HttpRequest& request);
@@ -61,21 +65,24 @@
                        HttpHeaders headers,
                        const std::string& stage);
   void WriteToken(const Stream& stream) const;
+  /// Brings the prompt's prefix into the cache.
+  /// @return time until the first token
   Duration LoadPrefix(const HttpRequest& request);
   HttpHeaders ResponseHeaders(const HttpRequest& request) const;
 
   EventLoop& loop_;
   Options options_;
   Faults faults_;
-  std::uint64_t incarnation_;  ///< time of the start
+  std::uint64_t incarnation_;  ///< time of the start; tells restarts apart
   std::uint32_t in_flight_ = 0;
   std::uint64_t runs_ = 0;
   RunCounts runs_by_key_;
   RunCounts runs_by_marker_;
-  std::uint64_t cancelled_ = 0;
+  std::uint64_t cancelled_ = 0;  ///< streams whose caller disconnected
   std::uint64_t cache_hits_ = 0;
-  std::uint32_t reported_load_ = 0;
+  std::uint32_t reported_load_ = 0;  ///< used if load_lag_ms is set
   PrefixCache cache_;
+  /// Applied by the last order; the body of /v1/state.
   nlohmann::json state_ = {{"model", ""},
                            {"version", ""},
                            {"adapters", nlohmann::json::array()},
--- a/standins/main.cc
+++ b/standins/main.cc
@@ -1,4 +1,5 @@
-// Test-only far ends in one small program; never installed.
+// Stand-ins for the platform and for backend servers. Used by tests only; never
+// installed.
 
 #include <csignal>
 #include <cstdio>
@@ -18,23 +19,26 @@
   CLI::App app{"stand-ins for the platform and for backend servers"};
   app.require_subcommand(1);
   std::uint16_t platform_port = 0;
-  CLI::App* platform = app.add_subcommand("platform", "tables, objects, hosts");
-  platform->add_option("--port", platform_port, "0 picks a free one");
+  CLI::App* platform =
+      app.add_subcommand("platform", "tables, objects and the host list");
+  platform->add_option("--port", platform_port, "0: any free port");
   Backend::Options options;
-  CLI::App* backend = app.add_subcommand("backend", "service and engine");
-  backend->add_option("--port", options.port, "0 picks a free one");
-  backend->add_option("--name", options.name, "name in answers");
-  backend->add_option("--service-ms", options.service_ms, "time of one call");
+  CLI::App* backend =
+      app.add_subcommand("backend", "plain service and model engine");
+  backend->add_option("--port", options.port, "0: any free port");
+  backend->add_option("--name", options.name, "server name in responses");
+  backend->add_option("--service-ms", options.service_ms, "duration of a call");
   backend->add_option("--token-ms", options.token_ms, "time between tokens");
-  backend->add_option("--tokens", options.tokens, "tokens of one answer");
+  backend->add_option("--tokens", options.tokens, "tokens per response");
   backend->add_flag("--checks-fencing", options.checks_fencing,
-                    "refuse orders with an old number");
+                    "reject orders with a stale fencing number");
   backend->add_option("--prefill-ms", options.prefill_ms,
                       "time before the first token of an uncached prompt");
   backend->add_option("--cache-entries", options.cache_entries,
-                      "prompt prefixes held");
-  backend->add_option("--load-lag-ms", options.load_lag_ms,
-                      "age that reported load may have");
+                      "prompt prefixes that the cache holds");
+  backend->add_option(
+      "--load-lag-ms", options.load_lag_ms,
+      "interval at which the reported load is updated; 0: always current");
   CLI11_PARSE(app, argc, argv);
 
   EventLoop loop;
--- a/standins/platform.cc
+++ b/standins/platform.cc
@@ -16,7 +16,7 @@
 }
 
 std::uint64_t HeaderBytes(const HttpHeaders& headers) {
-  constexpr std::size_t kSeparatorBytes = 4;  // ": " and the line's end
+  constexpr std::size_t kSeparatorBytes = 4;  // ": " and CRLF
   std::uint64_t size = 0;
   for (const HttpHeader& header : headers) {
     size += header.name.size() + header.value.size() + kSeparatorBytes;
--- a/standins/platform.h
+++ b/standins/platform.h
@@ -14,8 +14,8 @@
 
 namespace gentianroute::standin {
 
-/// @brief Stands in for the platform: tables with conditional writes, objects
-/// and the host list, all in memory. The protocol is in docs/PLATFORM.md.
+/// @brief Stand-in for the platform: tables with conditional writes, objects
+/// and the host list, all in memory. docs/PLATFORM.md describes the protocol.
 class Platform {
  public:
   Platform(EventLoop& loop, std::uint16_t port);
@@ -26,13 +26,13 @@
     nlohmann::json value;
     std::uint64_t version = 0;
   };
-  /// What callers sent and were answered since the start, without the
-  /// headers that the HTTP library adds.
+  /// Bytes of requests and responses since the start, without the headers that
+  /// the HTTP library adds.
   struct Traffic {
     std::uint64_t requests = 0;
     std::uint64_t bytes_in = 0;
     std::uint64_t bytes_out = 0;
-    std::uint64_t whole_lists = 0;  ///< host lists sent with their hosts
+    std::uint64_t whole_lists = 0;  ///< host lists sent in full
   };
   using RowKey = std::pair<std::string, std::string>;
 
@@ -51,7 +51,7 @@
   std::map<RowKey, Row> rows_;
   std::map<std::string, std::string> objects_;
   nlohmann::json hosts_ = nlohmann::json::array();
-  std::uint64_t hosts_version_ = 1;
+  std::uint64_t hosts_version_ = 1;  ///< the entity tag of the host list
   Traffic traffic_;
   std::uint64_t next_version_ = 1;
   HttpServer server_;
--- a/standins/prefix_cache.h
+++ b/standins/prefix_cache.h
@@ -11,16 +11,17 @@
 
 namespace gentianroute::standin {
 
-/// @brief Prompt prefixes that an engine holds, least recently used out first.
-/// Numbers its changes and keeps the last ones for `GET /v1/cache-events`.
+/// @brief LRU cache of prompt prefixes. Numbers its changes and retains the
+/// latest ones for `GET /v1/cache-events`.
 class PrefixCache {
  public:
   explicit PrefixCache(std::size_t capacity) : capacity_(capacity) {}
 
-  /// @brief Looks a prefix up, and holds it from now on.
-  /// @param prefix its key, as docs/BACKENDS.md says
-  /// @param lost the event takes its number but is never published
-  /// @return whether it was held
+  /// @brief Looks a prefix up and inserts it if it is missing.
+  /// @param prefix its key as described in docs/BACKENDS.md
+  /// @param lost whether an event of this call uses up a sequence number
+  /// without being published
+  /// @return whether the prefix was cached before
   bool Touch(const std::string& prefix, bool lost) {
     const auto found = std::ranges::find(prefixes_, prefix);
     const bool cached = found != prefixes_.end();
@@ -41,7 +42,7 @@
 
   std::uint64_t last_sequence() const { return last_sequence_; }
 
-  /// @brief Events numbered above `after`, oldest first.
+  /// @brief Retained events with a sequence number above `after`, oldest first.
   nlohmann::json EventsAfter(std::uint64_t after) const {
     nlohmann::json events = nlohmann::json::array();
     for (const nlohmann::json& event : events_) {
