--- a/loadtool/load_result.cc
+++ b/loadtool/load_result.cc
@@ -10,15 +10,15 @@
 
 using nlohmann::json;
 
-constexpr std::string_view kDuration = "dur=";
-constexpr std::string_view kCost = "cost_micros=";
+constexpr std::string_view kDurationPrefix = "dur=";
+constexpr std::string_view kCostPrefix = "cost_micros=";
 
-double NumberAfter(std::string_view text, std::string_view mark) {
-  const std::size_t at = text.find(mark);
+double ParseNumberAfter(std::string_view text, std::string_view prefix) {
+  const std::size_t at = text.find(prefix);
   if (at == std::string_view::npos) {
     return 0;
   }
-  const std::string rest(text.substr(at + mark.size()));
+  const std::string rest(text.substr(at + prefix.size()));
   return std::strtod(rest.c_str(), nullptr);
 }
 
@@ -29,7 +29,7 @@
           {"max", Quantile(values, 1.0)}};
 }
 
-std::string Row(std::string_view name, const json& quantiles) {
+std::string FormatRow(std::string_view name, const json& quantiles) {
   std::ostringstream row;
   row << "  " << name << " ms:";
   for (const char* quantile : {"p50", "p95", "p99", "max"}) {
@@ -62,45 +62,49 @@
     if (name_end == std::string_view::npos) {
       continue;
     }
-    stages.push_back({std::string(part.substr(0, name_end)),
-                      NumberAfter(part, kDuration),
-                      static_cast<std::int64_t>(NumberAfter(part, kCost))});
+    stages.push_back(
+        {std::string(part.substr(0, name_end)),
+         ParseNumberAfter(part, kDurationPrefix),
+         static_cast<std::int64_t>(ParseNumberAfter(part, kCostPrefix))});
   }
   return stages;
 }
 
-void LoadResult::Add(const Outcome& outcome) {
+void LoadResult::Add(const RequestOutcome& outcome) {
   Service& service = services_[outcome.service];
   constexpr int kOk = 200;
   ++service.sent;
-  service.cost += outcome.cost;
-  if (outcome.status != kOk || !outcome.kind.empty()) {
-    ++service.kinds[outcome.status == 0 ? "no_answer" : outcome.kind];
+  service.cost_micros += outcome.cost_micros;
+  if (outcome.status != kOk || !outcome.error_kind.empty()) {
+    ++service.errors_by_kind[outcome.status == 0 ? "no_answer"
+                                                 : outcome.error_kind];
     return;
   }
   ++service.answered;
   service.attained += outcome.attained ? 1 : 0;
-  service.milliseconds.push_back(Milliseconds(outcome.took));
-  if (outcome.first_token.count() > 0) {
-    service.first_token.push_back(Milliseconds(outcome.first_token));
+  service.latencies_ms.push_back(Milliseconds(outcome.latency));
+  if (outcome.first_token_latency.count() > 0) {
+    service.first_token_latencies_ms.push_back(
+        Milliseconds(outcome.first_token_latency));
   }
-  for (const Duration gap : outcome.between) {
-    service.between.push_back(Milliseconds(gap));
+  for (const Duration gap : outcome.token_intervals) {
+    service.token_intervals_ms.push_back(Milliseconds(gap));
   }
   for (const StageTiming& stage : ParseServerTiming(outcome.server_timing)) {
-    service.stage_cost[stage.stage] += stage.cost;
-    service.stage_milliseconds[stage.stage].push_back(stage.milliseconds);
+    service.stage_cost_micros[stage.stage] += stage.cost_micros;
+    service.stage_latencies_ms[stage.stage].push_back(stage.milliseconds);
   }
 }
 
-json LoadResult::Describe(const Service& service) {
+json LoadResult::ServiceJson(const Service& service) {
   json stages = json::object();
-  for (const auto& [name, cost] : service.stage_cost) {
+  for (const auto& [name, cost_micros] : service.stage_cost_micros) {
     const double answers = static_cast<double>(service.answered);
-    stages[name] = {{"cost_micros", cost},
-                    {"cost_micros_per_answer",
-                     answers > 0 ? static_cast<double>(cost) / answers : 0.0},
-                    {"ms", Quantiles(service.stage_milliseconds.at(name))}};
+    stages[name] = {
+        {"cost_micros", cost_micros},
+        {"cost_micros_per_answer",
+         answers > 0 ? static_cast<double>(cost_micros) / answers : 0.0},
+        {"ms", Quantiles(service.stage_latencies_ms.at(name))}};
   }
   const double sent = static_cast<double>(service.sent);
   json description = {
@@ -108,13 +112,13 @@
       {"answered", service.answered},
       {"attainment",
        sent > 0 ? static_cast<double>(service.attained) / sent : 0.0},
-      {"errors", service.kinds},
-      {"cost_micros", service.cost},
-      {"ms", Quantiles(service.milliseconds)},
+      {"errors", service.errors_by_kind},
+      {"cost_micros", service.cost_micros},
+      {"ms", Quantiles(service.latencies_ms)},
       {"stages", std::move(stages)}};
-  if (!service.first_token.empty()) {
-    description["first_token_ms"] = Quantiles(service.first_token);
-    description["between_tokens_ms"] = Quantiles(service.between);
+  if (!service.first_token_latencies_ms.empty()) {
+    description["first_token_ms"] = Quantiles(service.first_token_latencies_ms);
+    description["between_tokens_ms"] = Quantiles(service.token_intervals_ms);
   }
   return description;
 }
@@ -122,7 +126,7 @@
 json LoadResult::ToJson() const {
   json services = json::object();
   for (const auto& [name, service] : services_) {
-    services[name] = Describe(service);
+    services[name] = ServiceJson(service);
   }
   return {{"services", std::move(services)}};
 }
@@ -135,18 +139,18 @@
          << " answered=" << service.at("answered")
          << " attainment=" << service.at("attainment")
          << " cost_micros=" << service.at("cost_micros") << "\n";
-    text << Row("whole answer", service.at("ms"));
+    text << FormatRow("whole answer", service.at("ms"));
     if (service.contains("first_token_ms")) {
-      text << Row("first token", service.at("first_token_ms"));
-      text << Row("between tokens", service.at("between_tokens_ms"));
+      text << FormatRow("first token", service.at("first_token_ms"));
+      text << FormatRow("between tokens", service.at("between_tokens_ms"));
     }
     for (const auto& [stage, values] : service.at("stages").items()) {
-      text << Row("stage " + stage, values.at("ms"));
+      text << FormatRow("stage " + stage, values.at("ms"));
       text << "    cost_micros=" << values.at("cost_micros")
            << " per answer=" << values.at("cost_micros_per_answer") << "\n";
     }
-    for (const auto& [kind, count] : service.at("errors").items()) {
-      text << "  error " << kind << ": " << count << "\n";
+    for (const auto& [error_kind, count] : service.at("errors").items()) {
+      text << "  error " << error_kind << ": " << count << "\n";
     }
   }
   return text.str();
--- a/loadtool/load_result.h
+++ b/loadtool/load_result.h
@@ -13,23 +13,23 @@
 namespace gentianroute::load {
 
 /// @brief What one request came to.
-struct Outcome {
+struct RequestOutcome {
   std::string service;
-  int status = 0;    ///< 0: no whole answer
-  std::string kind;  ///< of the problem body; empty for an answer
-  Duration took{0};
-  Duration first_token{0};        ///< zero: not streamed
-  std::vector<Duration> between;  ///< between the tokens of a stream
-  bool attained = false;          ///< answered whole within its deadline
-  std::int64_t cost = 0;          ///< micro-euros
-  std::string server_timing;      ///< as the daemon sent it
+  int status = 0;          ///< 0: no whole answer
+  std::string error_kind;  ///< of the problem body; empty for an answer
+  Duration latency{0};
+  Duration first_token_latency{0};        ///< zero: not streamed
+  std::vector<Duration> token_intervals;  ///< between the tokens of a stream
+  bool attained = false;         ///< answered whole within its deadline
+  std::int64_t cost_micros = 0;  ///< micro-euros
+  std::string server_timing;     ///< as the daemon sent it
 };
 
 /// @brief Time and cost of one stage in a Server-Timing header.
 struct StageTiming {
   std::string stage;
   double milliseconds = 0;
-  std::int64_t cost = 0;  ///< micro-euros
+  std::int64_t cost_micros = 0;  ///< micro-euros
 };
 
 /// @brief Reads the Server-Timing header of a daemon's answer.
@@ -39,7 +39,7 @@
 /// @brief Collects outcomes of one run, per service.
 class LoadResult {
  public:
-  void Add(const Outcome& outcome);
+  void Add(const RequestOutcome& outcome);
 
   /// @brief Everything, as JSON: see docs/MEASUREMENTS.md.
   nlohmann::json ToJson() const;
@@ -51,16 +51,16 @@
     std::uint64_t sent = 0;
     std::uint64_t answered = 0;
     std::uint64_t attained = 0;
-    std::int64_t cost = 0;
-    std::vector<double> milliseconds;
-    std::vector<double> first_token;
-    std::vector<double> between;
-    std::map<std::string, std::uint64_t> kinds;
-    std::map<std::string, std::int64_t> stage_cost;
-    std::map<std::string, std::vector<double>> stage_milliseconds;
+    std::int64_t cost_micros = 0;
+    std::vector<double> latencies_ms;
+    std::vector<double> first_token_latencies_ms;
+    std::vector<double> token_intervals_ms;
+    std::map<std::string, std::uint64_t> errors_by_kind;
+    std::map<std::string, std::int64_t> stage_cost_micros;
+    std::map<std::string, std::vector<double>> stage_latencies_ms;
   };
 
-  static nlohmann::json Describe(const Service& service);
+  static nlohmann::json ServiceJson(const Service& service);
 
   std::map<std::string, Service> services_;
 };
--- a/loadtool/load_run.cc
+++ b/loadtool/load_run.cc
@@ -12,9 +12,9 @@
 
 constexpr std::string_view kTokenEvent = "event: token";
 /// Beyond its deadline an answer is late; a little more tells late from none.
-constexpr Duration kPatience = std::chrono::seconds(1);
+constexpr Duration kLateResponseMargin = std::chrono::seconds(1);
 
-std::int64_t NumberOf(std::string_view text) {
+std::int64_t ParseNumber(std::string_view text) {
   std::int64_t number = 0;
   std::from_chars(text.data(), text.data() + text.size(), number);
   return number;
@@ -32,46 +32,46 @@
 
   void OnHead(int status, const HttpHeaders& headers) override {
     outcome_.status = status;
-    outcome_.cost = NumberOf(FindHeader(headers, "x-cost-micros"));
+    outcome_.cost_micros = ParseNumber(FindHeader(headers, "x-cost-micros"));
     outcome_.server_timing = FindHeader(headers, "server-timing");
     const std::string_view type = FindHeader(headers, "content-type");
-    problem_ = type == "application/problem+json";
-    stream_ = type == "text/event-stream";
+    is_problem_ = type == "application/problem+json";
+    is_stream_ = type == "text/event-stream";
   }
 
   void OnBody(std::string_view part) override {
     body_ += part;
-    if (stream_ && part.find(kTokenEvent) != std::string_view::npos) {
+    if (is_stream_ && part.find(kTokenEvent) != std::string_view::npos) {
       OnToken();
     }
   }
 
   void OnDone() override {
-    outcome_.took = run_.loop_.Now() - started_;
-    outcome_.attained = outcome_.took <= run_.options_.deadline;
-    if (problem_) {
+    outcome_.latency = run_.loop_.Now() - started_;
+    outcome_.attained = outcome_.latency <= run_.options_.deadline;
+    if (is_problem_) {
       const json problem = json::parse(body_, nullptr, false);
-      outcome_.kind =
+      outcome_.error_kind =
           problem.is_object() ? problem.value("kind", "unread") : "unread";
     }
-    if (stream_ && body_.find("event: done") == std::string::npos) {
-      outcome_.kind = "stream_error";
+    if (is_stream_ && body_.find("event: done") == std::string::npos) {
+      outcome_.error_kind = "stream_error";
     }
-    run_.Finish(outcome_);
+    run_.OnRequestEnd(outcome_);
   }
 
   void OnError(HttpCallError /*error*/, std::string_view /*detail*/) override {
     outcome_.status = 0;
-    run_.Finish(outcome_);
+    run_.OnRequestEnd(outcome_);
   }
 
  private:
   void OnToken() {
     const TimePoint now = run_.loop_.Now();
-    if (outcome_.first_token.count() == 0) {
-      outcome_.first_token = now - started_;
+    if (outcome_.first_token_latency.count() == 0) {
+      outcome_.first_token_latency = now - started_;
     } else {
-      outcome_.between.push_back(now - last_token_);
+      outcome_.token_intervals.push_back(now - last_token_);
     }
     last_token_ = now;
   }
@@ -79,10 +79,10 @@
   LoadRun& run_;
   TimePoint started_;
   TimePoint last_token_{};
-  Outcome outcome_;
+  RequestOutcome outcome_;
   std::string body_;
-  bool problem_ = false;
-  bool stream_ = false;
+  bool is_problem_ = false;
+  bool is_stream_ = false;
 };
 
 LoadRun::LoadRun(EventLoop& loop, LoadOptions options)
@@ -90,31 +90,33 @@
       options_(std::move(options)),
       client_(loop),
       rng_(options_.seed),
-      gap_(options_.rate) {}
+      interarrival_s_(options_.rate) {}
 
 LoadResult LoadRun::Run() {
   next_send_ = loop_.Now();
-  end_ = next_send_ + options_.length;
+  send_until_ = next_send_ + options_.duration;
   ScheduleNext();
-  loop_.At(end_ + options_.deadline + kPatience, [this] { loop_.Stop(); });
+  loop_.At(send_until_ + options_.deadline + kLateResponseMargin,
+           [this] { loop_.Stop(); });
   loop_.Run();
-  Outcome unanswered;
+  RequestOutcome unanswered;
   unanswered.service = "(unanswered)";
-  for (; open_ > 0; --open_) {
+  for (; pending_ > 0; --pending_) {
     result_.Add(unanswered);
   }
   return std::move(result_);
 }
 
 void LoadRun::ScheduleNext() {
-  constexpr double kMicros = 1e6;
+  constexpr double kMicrosPerSecond = 1e6;
   // From the moment that was due, not from now: the loop wakes up to a
   // millisecond late, and the load would fall short of its rate by that much.
-  next_send_ += Duration(static_cast<std::int64_t>(gap_(rng_) * kMicros));
+  next_send_ += Duration(
+      static_cast<std::int64_t>(interarrival_s_(rng_) * kMicrosPerSecond));
   loop_.At(next_send_, [this] {
-    if (loop_.Now() >= end_) {
+    if (loop_.Now() >= send_until_) {
       sending_ = false;
-      if (open_ == 0) {
+      if (pending_ == 0) {
         loop_.Stop();
       }
       return;
@@ -124,18 +126,19 @@
   });
 }
 
-const Target& LoadRun::DrawTarget() {
+const TargetService& LoadRun::PickTarget() {
   std::vector<double> weights;
   weights.reserve(options_.targets.size());
-  for (const Target& target : options_.targets) {
+  for (const TargetService& target : options_.targets) {
     weights.push_back(target.weight);
   }
-  std::discrete_distribution<std::size_t> draw(weights.begin(), weights.end());
-  return options_.targets[draw(rng_)];
+  std::discrete_distribution<std::size_t> distribution(weights.begin(),
+                                                       weights.end());
+  return options_.targets[distribution(rng_)];
 }
 
 void LoadRun::Send() {
-  const Target& target = DrawTarget();
+  const TargetService& target = PickTarget();
   const std::uint64_t number = ++sent_;
   const json body = {{"prompt", "letter " + std::to_string(number)},
                      {"marker", number}};
@@ -149,24 +152,24 @@
        "Bearer " + options_.keys[number % options_.keys.size()]},
       {"content-type", "application/json"},
       {"x-timeout-ms", std::to_string(options_.deadline.count() / 1000)}};
-  if (target.keyed) {
+  if (target.sends_key) {
     call.headers.push_back(
         {"idempotency-key", "load-" + std::to_string(options_.seed) + "-" +
                                 std::to_string(number)});
   }
-  if (target.stream) {
+  if (target.streamed) {
     call.headers.push_back({"accept", "text/event-stream"});
   }
   call.body = body.dump();
-  ++open_;
+  ++pending_;
   client_.Call(std::move(call),
                std::make_unique<Observer>(*this, target.service));
 }
 
-void LoadRun::Finish(const Outcome& outcome) {
-  --open_;
+void LoadRun::OnRequestEnd(const RequestOutcome& outcome) {
+  --pending_;
   result_.Add(outcome);
-  if (!sending_ && open_ == 0) {
+  if (!sending_ && pending_ == 0) {
     loop_.Stop();
   }
 }
--- a/loadtool/load_run.h
+++ b/loadtool/load_run.h
@@ -13,19 +13,19 @@
 namespace gentianroute::load {
 
 /// @brief One service in the mix.
-struct Target {
+struct TargetService {
   std::string service;
   double weight = 1;
-  bool keyed = false;   ///< each request gets an Idempotency-Key of its own
-  bool stream = false;  ///< asks for a streamed answer
+  bool sends_key = false;  ///< each request gets an Idempotency-Key of its own
+  bool streamed = false;   ///< asks for a streamed answer
 };
 
 struct LoadOptions {
   std::vector<std::uint16_t> ports;  ///< callers' ports, used in turn
   std::vector<std::string> keys;     ///< bearer keys, used in turn
-  std::vector<Target> targets;
+  std::vector<TargetService> targets;
   double rate = 10;  ///< requests a second in all
-  Duration length = std::chrono::seconds(5);
+  Duration duration = std::chrono::seconds(5);
   Duration deadline = std::chrono::seconds(6);
   std::uint64_t seed = 1;
 };
@@ -44,19 +44,19 @@
 
   void ScheduleNext();
   void Send();
-  const Target& DrawTarget();
-  void Finish(const Outcome& outcome);
+  const TargetService& PickTarget();
+  void OnRequestEnd(const RequestOutcome& outcome);
 
   EventLoop& loop_;
   LoadOptions options_;
   H2oHttpClient client_;
   std::mt19937_64 rng_;
-  std::exponential_distribution<double> gap_;
-  TimePoint end_{};
+  std::exponential_distribution<double> interarrival_s_;
+  TimePoint send_until_{};
   TimePoint next_send_{};
   LoadResult result_;
   std::uint64_t sent_ = 0;
-  std::uint64_t open_ = 0;
+  std::uint64_t pending_ = 0;
   bool sending_ = true;
 };
 
--- a/loadtool/main.cc
+++ b/loadtool/main.cc
@@ -11,11 +11,11 @@
 namespace {
 
 using gentianroute::load::LoadOptions;
-using gentianroute::load::Target;
+using gentianroute::load::TargetService;
 
 /// Reads NAME[=WEIGHT][,keyed][,stream].
-Target ParseTarget(const std::string& text) {
-  Target target;
+TargetService ParseTargetService(const std::string& text) {
+  TargetService target;
   std::string name = text.substr(0, text.find(','));
   const std::size_t equals = name.find('=');
   if (equals != std::string::npos) {
@@ -23,8 +23,8 @@
     name.resize(equals);
   }
   target.service = name;
-  target.keyed = text.find(",keyed") != std::string::npos;
-  target.stream = text.find(",stream") != std::string::npos;
+  target.sends_key = text.find(",keyed") != std::string::npos;
+  target.streamed = text.find(",stream") != std::string::npos;
   return target;
 }
 
@@ -52,11 +52,11 @@
   CLI11_PARSE(app, argc, argv);
 
   for (const std::string& service : services) {
-    options.targets.push_back(ParseTarget(service));
+    options.targets.push_back(ParseTargetService(service));
   }
-  constexpr double kMicros = 1e6;
-  options.length =
-      gentianroute::Duration(static_cast<std::int64_t>(seconds * kMicros));
+  constexpr double kMicrosPerSecond = 1e6;
+  options.duration = gentianroute::Duration(
+      static_cast<std::int64_t>(seconds * kMicrosPerSecond));
   options.deadline = std::chrono::milliseconds(deadline_ms);
   gentianroute::EventLoop loop;
   const auto result = gentianroute::load::LoadRun(loop, options).Run();
--- a/loadtool/tests/load_result_test.cc
+++ b/loadtool/tests/load_result_test.cc
@@ -6,9 +6,9 @@
 
 using gentianroute::Duration;
 using gentianroute::load::LoadResult;
-using gentianroute::load::Outcome;
 using gentianroute::load::ParseServerTiming;
 using gentianroute::load::Quantile;
+using gentianroute::load::RequestOutcome;
 
 Test(load_result, server_timing_of_two_stages_gives_time_and_cost_of_each) {
   const auto stages = ParseServerTiming(
@@ -17,7 +17,7 @@
   cr_assert_eq(stages.size(), 2U);
   cr_assert(stages[0].stage == "encode");
   cr_assert_float_eq(stages[0].milliseconds, 5.5, 1e-9);
-  cr_assert_eq(stages[1].cost, 32);
+  cr_assert_eq(stages[1].cost_micros, 32);
 }
 
 Test(load_result, quantile_by_nearest_rank_takes_a_value_that_occurred) {
@@ -28,13 +28,14 @@
 
 Test(load_result, refused_and_late_requests_count_against_attainment) {
   LoadResult result;
-  Outcome in_time{.service = "s", .status = 200, .attained = true};
-  in_time.took = Duration(1000);
-  Outcome late{.service = "s", .status = 200};
-  late.took = Duration(9'000'000);
-  const Outcome refused{.service = "s", .status = 503, .kind = "overloaded"};
-  const Outcome lost{.service = "s"};
-  for (const Outcome& outcome : {in_time, late, refused, lost}) {
+  RequestOutcome in_time{.service = "s", .status = 200, .attained = true};
+  in_time.latency = Duration(1000);
+  RequestOutcome late{.service = "s", .status = 200};
+  late.latency = Duration(9'000'000);
+  const RequestOutcome refused{
+      .service = "s", .status = 503, .error_kind = "overloaded"};
+  const RequestOutcome lost{.service = "s"};
+  for (const RequestOutcome& outcome : {in_time, late, refused, lost}) {
     result.Add(outcome);
   }
   const auto service = result.ToJson().at("services").at("s");
