--- a/loadtool/load_result.h
+++ b/loadtool/load_result.h
@@ -12,17 +12,17 @@
 
 namespace gentianroute::load {
 
-/// @brief What one request came to.
+/// @brief The outcome of one request.
 struct RequestOutcome {
   std::string service;
-  int status = 0;          ///< 0: no whole answer
-  std::string error_kind;  ///< of the problem body; empty for an answer
-  Duration latency{0};
-  Duration first_token_latency{0};        ///< zero: not streamed
+  int status = 0;                   ///< 0: no complete response
+  std::string error_kind;           ///< from the error body; empty if answered
+  Duration latency{0};              ///< until the response's end
+  Duration first_token_latency{0};  ///< zero: no stream
   std::vector<Duration> token_intervals;  ///< between the tokens of a stream
-  bool attained = false;         ///< answered whole within its deadline
-  std::int64_t cost_micros = 0;  ///< micro-euros
-  std::string server_timing;     ///< as the daemon sent it
+  bool attained = false;                  ///< complete within its deadline
+  std::int64_t cost_micros = 0;           ///< micro-euros
+  std::string server_timing;              ///< header as received
 };
 
 /// @brief Time and cost of one stage in a Server-Timing header.
@@ -32,18 +32,18 @@
   std::int64_t cost_micros = 0;  ///< micro-euros
 };
 
-/// @brief Reads the Server-Timing header of a daemon's answer.
-/// @return the stages in order; parts that can't be read are left out
+/// @brief Parses the Server-Timing header of a daemon's response.
+/// @return the stages in order; malformed parts are left out
 std::vector<StageTiming> ParseServerTiming(std::string_view header);
 
-/// @brief Collects outcomes of one run, per service.
+/// @brief Collects the outcomes of one run per service.
 class LoadResult {
  public:
   void Add(const RequestOutcome& outcome);
 
-  /// @brief Everything, as JSON: see docs/MEASUREMENTS.md.
+  /// @brief All results as JSON; docs/MEASUREMENTS.md describes the fields.
   nlohmann::json ToJson() const;
-  /// @brief The same for a terminal.
+  /// @brief All results as text.
   std::string ToText() const;
 
  private:
@@ -65,8 +65,10 @@
   std::map<std::string, Service> services_;
 };
 
-/// @brief A quantile by the nearest-rank method.
-/// @param values in any order; 0 if there are none
+/// @brief Computes a quantile by the nearest-rank method.
+/// @param values in any order
+/// @param fraction from 0 to 1
+/// @return 0 if there are no values
 double Quantile(std::vector<double> values, double fraction);
 
 }  // namespace gentianroute::load
--- a/loadtool/load_run.cc
+++ b/loadtool/load_run.cc
@@ -11,7 +11,8 @@
 using nlohmann::json;
 
 constexpr std::string_view kTokenEvent = "event: token";
-/// Beyond its deadline an answer is late; a little more tells late from none.
+/// Waits this much longer than the deadline, to distinguish late responses from
+/// missing ones.
 constexpr Duration kLateResponseMargin = std::chrono::seconds(1);
 
 std::int64_t ParseNumber(std::string_view text) {
@@ -22,7 +23,7 @@
 
 }  // namespace
 
-/// Follows one request from its first byte to its end.
+/// Records the outcome of one request.
 class LoadRun::Observer final : public HttpCallObserver {
  public:
   Observer(LoadRun& run, std::string service)
@@ -109,8 +110,8 @@
 
 void LoadRun::ScheduleNext() {
   constexpr double kMicrosPerSecond = 1e6;
-  // From the moment that was due, not from now: the loop wakes up to a
-  // millisecond late, and the load would fall short of its rate by that much.
+  // Counts from the time that was due rather than from now: the loop wakes up
+  // to a millisecond late, which would add up and lower the rate.
   next_send_ += Duration(
       static_cast<std::int64_t>(interarrival_s_(rng_) * kMicrosPerSecond));
   loop_.At(next_send_, [this] {
--- a/loadtool/load_run.h
+++ b/loadtool/load_run.h
@@ -12,31 +12,33 @@
 
 namespace gentianroute::load {
 
-/// @brief One service in the mix.
+/// @brief One service that receives requests.
 struct TargetService {
   std::string service;
-  double weight = 1;
-  bool sends_key = false;  ///< each request gets an Idempotency-Key of its own
-  bool streamed = false;   ///< asks for a streamed answer
+  double weight = 1;       ///< share of the requests, relative to the others
+  bool sends_key = false;  ///< sends a unique Idempotency-Key
+  bool streamed = false;   ///< asks for a streamed response
 };
 
+/// @brief Parameters of one run.
 struct LoadOptions {
-  std::vector<std::uint16_t> ports;  ///< callers' ports, used in turn
-  std::vector<std::string> keys;     ///< bearer keys, used in turn
+  std::vector<std::uint16_t> ports;  ///< callers' ports, used round robin
+  std::vector<std::string> keys;     ///< bearer keys, used round robin
   std::vector<TargetService> targets;
-  double rate = 10;  ///< requests a second in all
-  Duration duration = std::chrono::seconds(5);
-  Duration deadline = std::chrono::seconds(6);
+  double rate = 10;  ///< requests per second over all services
+  Duration duration = std::chrono::seconds(5);  ///< time of sending
+  Duration deadline = std::chrono::seconds(6);  ///< of each request
   std::uint64_t seed = 1;
 };
 
-/// @brief Sends requests at random moments, at a rate that does not depend on
-/// the answers: a slow system meets the same load as a fast one.
+/// @brief Open-loop load generator: sends requests as a Poisson process whose
+/// rate does not depend on the responses, so that a slow system gets the same
+/// load as a fast one.
 class LoadRun {
  public:
   LoadRun(EventLoop& loop, LoadOptions options);
 
-  /// @brief Runs to the end of the last answer, or its deadline.
+  /// @brief Runs until the last response, or until shortly after its deadline.
   LoadResult Run();
 
  private:
@@ -51,7 +53,7 @@
   LoadOptions options_;
   H2oHttpClient client_;
   std::mt19937_64 rng_;
-  std::exponential_distribution<double> interarrival_s_;
+  std::exponential_distribution<double> interarrival_s_;  ///< seconds
   TimePoint send_until_{};
   TimePoint next_send_{};
   LoadResult result_;
--- a/loadtool/main.cc
+++ b/loadtool/main.cc
@@ -1,4 +1,5 @@
-// Test-only: puts load on daemons and prints what came of it.
+// Open-loop load generator for tests: sends requests to daemons and prints the
+// results.
 
 #include <cstdio>
 #include <string>
@@ -13,7 +14,7 @@
 using gentianroute::load::LoadOptions;
 using gentianroute::load::TargetService;
 
-/// Reads NAME[=WEIGHT][,keyed][,stream].
+/// Parses NAME[=WEIGHT][,keyed][,stream].
 TargetService ParseTargetService(const std::string& text) {
   TargetService target;
   std::string name = text.substr(0, text.find(','));
@@ -37,9 +38,9 @@
   double seconds = 5;
   std::int64_t deadline_ms = 6000;
   std::string output = "text";
-  app.add_option("--port", options.ports, "callers' ports, used in turn")
+  app.add_option("--port", options.ports, "callers' ports, used round robin")
       ->required();
-  app.add_option("--key", options.keys, "bearer keys, used in turn")
+  app.add_option("--key", options.keys, "bearer keys, used round robin")
       ->required();
   app.add_option("--service", services, "NAME[=WEIGHT][,keyed][,stream]")
       ->required();
--- a/standins/faults.h
+++ b/standins/faults.h
@@ -15,7 +15,7 @@
   std::uint32_t delay_ms = 0;       ///< before each response, or each token
   std::uint32_t error_status = 0;   ///< responds with this status; 0: none
   std::uint32_t max_in_flight = 0;  ///< rejects more as not run; 0: no limit
-  std::uint32_t cut_at_token = 0;   ///< closes the stream there; 0: never
+  std::uint32_t cut_at_token = 0;  ///< ends the stream at this offset; 0: never
   /// Connections up to this number never get a response; newer ones do. Set by
   /// `silence_open`.
   std::uint64_t last_silent_connection = 0;
