--- a/tests/demo/example.cc
+++ b/tests/demo/example_deployment.cc
@@ -1,4 +1,4 @@
-#include "example.h"
+#include "example_deployment.h"
 
 #include <signal.h>
 
@@ -14,8 +14,8 @@
 namespace fs = std::filesystem;
 using nlohmann::json;
 
-constexpr int kStartSeconds = 20;
-constexpr int kStopSeconds = 40;
+constexpr int kStartTimeoutSeconds = 20;
+constexpr int kStopTimeoutSeconds = 40;
 
 json ReadJson(const fs::path& file) {
   std::ifstream input(file);
@@ -24,16 +24,16 @@
 
 }  // namespace
 
-Example::Example(fs::path folder, fs::path logs, int tokens)
+ExampleDeployment::ExampleDeployment(fs::path folder, fs::path logs, int tokens)
     : folder_(std::move(folder)), logs_(std::move(logs)), tokens_(tokens) {
   fs::create_directories(logs_);
 }
 
-std::string Example::Log(const std::string& name) const {
+std::string ExampleDeployment::LogPath(const std::string& name) const {
   return (logs_ / (name + ".err")).string();
 }
 
-void Example::Start() {
+void ExampleDeployment::Start() {
   const json demo = ReadJson(folder_ / "demo.json");
   key_ = demo.at("key");
   requests_ = demo.at("requests");
@@ -43,34 +43,34 @@
   Apply();
 }
 
-int Example::Stop() {
-  for (const Entry& entry : entries_) {
-    entry.process->Signal(SIGTERM);
+int ExampleDeployment::Stop() {
+  for (const EntryHost& entry_host : entry_hosts_) {
+    entry_host.process->Signal(SIGTERM);
   }
   int failed = 0;
-  for (const Entry& entry : entries_) {
-    const int status = entry.process->Wait(kStopSeconds);
+  for (const EntryHost& entry_host : entry_hosts_) {
+    const int status = entry_host.process->Wait(kStopTimeoutSeconds);
     failed += status == 0 ? 0 : 1;
     if (status != 0) {
-      std::printf("%s ended with %d; see %s\n", entry.name.c_str(), status,
+      std::printf("%s ended with %d; see %s\n", entry_host.name.c_str(), status,
                   logs_.c_str());
     }
   }
-  std::printf("%zu daemons stopped, %d of them not cleanly\n", entries_.size(),
-              failed);
+  std::printf("%zu daemons stopped, %d of them not cleanly\n",
+              entry_hosts_.size(), failed);
   return failed;
 }
 
-void Example::StartPlatform(std::uint16_t port) {
+void ExampleDeployment::StartPlatform(std::uint16_t port) {
   platform_port_ = port;
   platform_ = std::make_unique<Process>(
       std::vector<std::string>{Binary("standins/standin"), "platform", "--port",
                                std::to_string(port)},
-      Log("platform"));
+      LogPath("platform"));
   platform_->ReadPort();
 }
 
-void Example::StartBackends() {
+void ExampleDeployment::StartBackends() {
   json hosts = ReadJson(folder_ / "hosts.json");
   for (json& host : hosts) {
     if (host.at("pool") == "gentianroute") {
@@ -81,7 +81,7 @@
         std::vector<std::string>{Binary("standins/standin"), "backend",
                                  "--name", name, "--tokens",
                                  std::to_string(tokens_)},
-        Log(name)));
+        LogPath(name)));
     host["port"] = backends_.back()->ReadPort();
   }
   Http(platform_port_, "PUT", "/control/hosts", hosts.dump());
@@ -90,7 +90,7 @@
               backends_.size());
 }
 
-void Example::StartDaemons() {
+void ExampleDeployment::StartDaemons() {
   std::vector<fs::path> files;
   for (const auto& file : fs::directory_iterator(folder_ / "settings")) {
     files.push_back(file.path());
@@ -98,46 +98,48 @@
   std::ranges::sort(files);
   for (const fs::path& file : files) {
     const json settings = ReadJson(file);
-    Entry entry;
-    entry.name = settings.at("name");
-    entry.data_centre = settings.at("dataCentre");
-    entry.callers = settings.at("callers").at("port");
-    entry.operators = settings.at("operators").at("port");
-    entry.process = std::make_unique<Process>(
+    EntryHost entry_host;
+    entry_host.name = settings.at("name");
+    entry_host.data_centre = settings.at("dataCentre");
+    entry_host.callers_port = settings.at("callers").at("port");
+    entry_host.operators_port = settings.at("operators").at("port");
+    entry_host.process = std::make_unique<Process>(
         std::vector<std::string>{Binary("apps/gentianroute"), "--settings",
                                  file.string()},
-        Log(entry.name));
-    entries_.push_back(std::move(entry));
+        LogPath(entry_host.name));
+    entry_hosts_.push_back(std::move(entry_host));
   }
-  for (const Entry& entry : entries_) {
-    const bool up = Eventually(kStartSeconds, [&entry] {
-      return Http(entry.operators, "GET", "/healthz", "").status == 200;
+  for (const EntryHost& entry_host : entry_hosts_) {
+    const bool healthy = Eventually(kStartTimeoutSeconds, [&entry_host] {
+      return Http(entry_host.operators_port, "GET", "/healthz", "").status ==
+             200;
     });
-    if (!up) {
-      throw std::runtime_error(entry.name + " did not come up; see " +
+    if (!healthy) {
+      throw std::runtime_error(entry_host.name + " did not come up; see " +
                                logs_.string());
     }
   }
-  std::printf("%zu daemons are up\n", entries_.size());
+  std::printf("%zu daemons are up\n", entry_hosts_.size());
 }
 
-void Example::Apply() {
+void ExampleDeployment::Apply() {
   Process apply({Binary("apps/gentianctl"), "--port",
-                 std::to_string(entries_.front().operators), "apply", "--wait",
-                 std::to_string(kStartSeconds), "--author", "demo",
-                 (folder_ / "profiles.json").string()},
-                Log("apply"));
+                 std::to_string(entry_hosts_.front().operators_port), "apply",
+                 "--wait", std::to_string(kStartTimeoutSeconds), "--author",
+                 "demo", (folder_ / "profiles.json").string()},
+                LogPath("apply"));
   const std::string text = apply.ReadAll();
-  if (apply.Wait(2 * kStartSeconds) != 0) {
+  if (apply.Wait(2 * kStartTimeoutSeconds) != 0) {
     throw std::runtime_error("apply failed; see " + logs_.string());
   }
   // Before this line come the documents, which the folder shows better.
   const std::size_t summary = text.find("applied as");
   std::printf("profiles %s",
               text.substr(std::min(summary, text.size())).c_str());
-  for (const Entry& entry : entries_) {
-    Eventually(kStartSeconds, [&entry] {
-      return Http(entry.operators, "GET", "/readyz", "").status == 200;
+  for (const EntryHost& entry_host : entry_hosts_) {
+    Eventually(kStartTimeoutSeconds, [&entry_host] {
+      return Http(entry_host.operators_port, "GET", "/readyz", "").status ==
+             200;
     });
   }
 }
--- a/tests/demo/main.cc
+++ b/tests/demo/main.cc
@@ -10,14 +10,14 @@
 
 #include <CLI/CLI.hpp>
 
-#include "example.h"
+#include "example_deployment.h"
 
 namespace {
 
 using gentianroute::testing::Answer;
 using gentianroute::testing::Binary;
-using gentianroute::testing::Entry;
-using gentianroute::testing::Example;
+using gentianroute::testing::EntryHost;
+using gentianroute::testing::ExampleDeployment;
 using gentianroute::testing::Http;
 using gentianroute::testing::Process;
 using nlohmann::json;
@@ -31,45 +31,52 @@
   std::printf("  %s\n", answer.headers.substr(at + 2, end - at - 2).c_str());
 }
 
-bool Show(const Example& example, const Entry& entry, const json& request) {
+bool SendAndPrint(const ExampleDeployment& deployment,
+                  const EntryHost& entry_host,
+                  const json& request) {
   const std::string service = request.at("service");
-  std::vector<std::string> headers = {"authorization: Bearer " + example.key()};
+  std::vector<std::string> headers = {"authorization: Bearer " +
+                                      deployment.key()};
   if (request.contains("key")) {
     headers.push_back("idempotency-key: " +
                       request.at("key").get<std::string>());
   }
-  const Answer answer = Http(entry.callers, "POST", "/v1/services/" + service,
-                             request.at("body").dump(), headers);
-  std::printf("\nPOST %s at %s (%s): %d\n", service.c_str(), entry.name.c_str(),
-              entry.data_centre.c_str(), answer.status);
+  const Answer answer =
+      Http(entry_host.callers_port, "POST", "/v1/services/" + service,
+           request.at("body").dump(), headers);
+  std::printf("\nPOST %s at %s (%s): %d\n", service.c_str(),
+              entry_host.name.c_str(), entry_host.data_centre.c_str(),
+              answer.status);
   PrintHeader(answer, "x-cost-micros");
   PrintHeader(answer, "server-timing");
   std::printf("  %s\n", answer.body.c_str());
   return answer.status == 200;
 }
 
-int ShowRequests(const Example& example) {
+int SendRequests(const ExampleDeployment& deployment) {
   int failed = 0;
   std::size_t next = 0;
-  for (const json& request : example.requests()) {
-    const Entry& entry = example.entries()[next++ % example.entries().size()];
-    failed += Show(example, entry, request) ? 0 : 1;
+  for (const json& request : deployment.requests()) {
+    const EntryHost& entry_host =
+        deployment.entry_hosts()[next++ % deployment.entry_hosts().size()];
+    failed += SendAndPrint(deployment, entry_host, request) ? 0 : 1;
   }
   return failed;
 }
 
-void ShowReport(const Example& example) {
-  constexpr int kReportSeconds = 20;
+void PrintReport(const ExampleDeployment& deployment) {
+  constexpr int kReportTimeoutSeconds = 20;
   std::vector<std::string> command = {
       Binary("apps/gentianctl"), "--port",
-      std::to_string(example.entries().front().operators), "report"};
-  for (const Entry& entry : example.entries()) {
+      std::to_string(deployment.entry_hosts().front().operators_port),
+      "report"};
+  for (const EntryHost& entry_host : deployment.entry_hosts()) {
     command.push_back("--also");
-    command.push_back("127.0.0.1:" + std::to_string(entry.operators));
+    command.push_back("127.0.0.1:" + std::to_string(entry_host.operators_port));
   }
-  Process report(command, example.Log("report"));
+  Process report(command, deployment.LogPath("report"));
   std::printf("\n%s", report.ReadAll().c_str());
-  report.Wait(kReportSeconds);
+  report.Wait(kReportTimeoutSeconds);
 }
 
 }  // namespace
@@ -85,13 +92,13 @@
       ->check(CLI::Range(0, 3600));
   CLI11_PARSE(app, argc, argv);
   try {
-    Example example(folder, logs);
-    example.Start();
-    const int failed = ShowRequests(example);
+    ExampleDeployment deployment(folder, logs);
+    deployment.Start();
+    const int failed = SendRequests(deployment);
     std::fflush(stdout);
     sleep(static_cast<unsigned>(hold));
-    ShowReport(example);
-    return failed + example.Stop() == 0 ? 0 : 1;
+    PrintReport(deployment);
+    return failed + deployment.Stop() == 0 ? 0 : 1;
   } catch (const std::exception& error) {
     std::fprintf(stderr, "%s\n", error.what());
     return 1;
--- a/tests/demo/measure.cc
+++ b/tests/demo/measure.cc
@@ -13,23 +13,23 @@
 
 #include <CLI/CLI.hpp>
 
-#include "example.h"
+#include "example_deployment.h"
 
 namespace {
 
 using gentianroute::testing::Binary;
-using gentianroute::testing::Entry;
-using gentianroute::testing::Example;
+using gentianroute::testing::EntryHost;
+using gentianroute::testing::ExampleDeployment;
 using gentianroute::testing::Process;
 using nlohmann::json;
 
 /// Means over the daemons, since they started.
-struct Use {
+struct ResourceUsage {
   double processor_ms = 0;
   double memory_kb = 0;
 };
 
-double ProcessorMs(pid_t pid) {
+double ReadProcessorMs(pid_t pid) {
   constexpr int kFieldsBeforeUserTime = 13;
   std::ifstream file("/proc/" + std::to_string(pid) + "/stat");
   std::string skipped;
@@ -39,33 +39,34 @@
   double user = 0;
   double system = 0;
   file >> user >> system;
-  constexpr double kMilliseconds = 1000;
-  return (user + system) * kMilliseconds /
+  constexpr double kMillisecondsPerSecond = 1000;
+  return (user + system) * kMillisecondsPerSecond /
          static_cast<double>(sysconf(_SC_CLK_TCK));
 }
 
-double MemoryKb(pid_t pid) {
+double ReadMemoryKb(pid_t pid) {
   std::ifstream file("/proc/" + std::to_string(pid) + "/statm");
   double size = 0;
   double resident = 0;
   file >> size >> resident;
-  constexpr double kKilobyte = 1024;
-  return resident * static_cast<double>(sysconf(_SC_PAGESIZE)) / kKilobyte;
+  constexpr double kBytesPerKilobyte = 1024;
+  return resident * static_cast<double>(sysconf(_SC_PAGESIZE)) /
+         kBytesPerKilobyte;
 }
 
-Use MeanUse(const Example& example) {
-  Use use;
-  for (const Entry& entry : example.entries()) {
-    use.processor_ms += ProcessorMs(entry.process->id());
-    use.memory_kb += MemoryKb(entry.process->id());
+ResourceUsage MeanUsage(const ExampleDeployment& deployment) {
+  ResourceUsage usage;
+  for (const EntryHost& entry_host : deployment.entry_hosts()) {
+    usage.processor_ms += ReadProcessorMs(entry_host.process->id());
+    usage.memory_kb += ReadMemoryKb(entry_host.process->id());
   }
-  const auto count = static_cast<double>(example.entries().size());
-  return {use.processor_ms / count, use.memory_kb / count};
+  const auto count = static_cast<double>(deployment.entry_hosts().size());
+  return {usage.processor_ms / count, usage.memory_kb / count};
 }
 
 /// Runs the load tool over all daemons.
 /// @return what it printed, as JSON
-json Load(const Example& example, double rate, int seconds) {
+json RunLoad(const ExampleDeployment& deployment, double rate, int seconds) {
   std::vector<std::string> command = {Binary("loadtool/load"),
                                       "--output",
                                       "json",
@@ -74,26 +75,26 @@
                                       "--seconds",
                                       std::to_string(seconds),
                                       "--key",
-                                      example.key()};
-  for (const Entry& entry : example.entries()) {
+                                      deployment.key()};
+  for (const EntryHost& entry_host : deployment.entry_hosts()) {
     command.push_back("--port");
-    command.push_back(std::to_string(entry.callers));
+    command.push_back(std::to_string(entry_host.callers_port));
   }
-  for (const json& request : example.requests()) {
+  for (const json& request : deployment.requests()) {
     command.push_back("--service");
     command.push_back(request.at("service").get<std::string>() +
                       (request.contains("key") ? ",keyed" : ""));
   }
-  Process load(command, example.Log("load"));
+  Process load(command, deployment.LogPath("load"));
   const std::string text = load.ReadAll();
   load.Wait(seconds);
   return json::parse(text);
 }
 
-void Report(const json& load,
-            const Use& before,
-            const Use& after,
-            std::size_t daemons) {
+void PrintLoad(const json& load,
+               const ResourceUsage& before,
+               const ResourceUsage& after,
+               std::size_t daemons) {
   double sent = 0;
   for (const auto& [name, service] : load.at("services").items()) {
     std::printf("  %s: sent=%s attainment=%.4f p95=%.1f ms\n", name.c_str(),
@@ -102,9 +103,9 @@
                 service.at("ms").at("p95").get<double>());
     sent += service.at("sent").get<double>();
   }
-  const double each = sent / static_cast<double>(daemons);
+  const double requests_per_daemon = sent / static_cast<double>(daemons);
   std::printf("  processor time a request: %.3f ms\n",
-              (after.processor_ms - before.processor_ms) / each);
+              (after.processor_ms - before.processor_ms) / requests_per_daemon);
   std::printf("  resident memory: %.0f kB a daemon\n", after.memory_kb);
 }
 
@@ -128,18 +129,19 @@
       ->check(CLI::Range(1.0, 5000.0));
   CLI11_PARSE(app, argc, argv);
   try {
-    Example example(folder, logs, tokens);
-    example.Start();
-    const Use begin = MeanUse(example);
+    ExampleDeployment deployment(folder, logs, tokens);
+    deployment.Start();
+    const ResourceUsage before_idle = MeanUsage(deployment);
     sleep(static_cast<unsigned>(idle));
-    const Use rested = MeanUse(example);
+    const ResourceUsage after_idle = MeanUsage(deployment);
     std::printf("idle: %.3f ms of processor time a second, %.0f kB resident\n",
-                (rested.processor_ms - begin.processor_ms) / idle,
-                rested.memory_kb);
-    const json load = Load(example, rate, seconds);
+                (after_idle.processor_ms - before_idle.processor_ms) / idle,
+                after_idle.memory_kb);
+    const json load = RunLoad(deployment, rate, seconds);
     std::printf("load:\n");
-    Report(load, rested, MeanUse(example), example.entries().size());
-    return example.Stop() == 0 ? 0 : 1;
+    PrintLoad(load, after_idle, MeanUsage(deployment),
+              deployment.entry_hosts().size());
+    return deployment.Stop() == 0 ? 0 : 1;
   } catch (const std::exception& error) {
     std::fprintf(stderr, "%s\n", error.what());
     return 1;
