--- a/tests/demo/example_deployment.cc
+++ b/tests/demo/example_deployment.cc
@@ -52,11 +52,11 @@
     const int status = entry_host.process->Wait(kStopTimeoutSeconds);
     failed += status == 0 ? 0 : 1;
     if (status != 0) {
-      std::printf("%s ended with %d; see %s\n", entry_host.name.c_str(), status,
-                  logs_.c_str());
+      std::printf("%s exited with status %d; see %s\n", entry_host.name.c_str(),
+                  status, logs_.c_str());
     }
   }
-  std::printf("%zu daemons stopped, %d of them not cleanly\n",
+  std::printf("%zu daemons stopped, %d of them with an error\n",
               entry_hosts_.size(), failed);
   return failed;
 }
@@ -86,7 +86,7 @@
   }
   Http(platform_port_, "PUT", "/control/hosts", hosts.dump());
   std::ofstream(logs_ / "hosts.json") << hosts.dump(2) << "\n";
-  std::printf("%zu backend servers and the platform's stand-in are up\n",
+  std::printf("started %zu backend servers and the platform's stand-in\n",
               backends_.size());
 }
 
@@ -115,11 +115,11 @@
              200;
     });
     if (!healthy) {
-      throw std::runtime_error(entry_host.name + " did not come up; see " +
+      throw std::runtime_error(entry_host.name + " did not start; see " +
                                logs_.string());
     }
   }
-  std::printf("%zu daemons are up\n", entry_hosts_.size());
+  std::printf("started %zu daemons\n", entry_hosts_.size());
 }
 
 void ExampleDeployment::Apply() {
@@ -132,7 +132,7 @@
   if (apply.Wait(2 * kStartTimeoutSeconds) != 0) {
     throw std::runtime_error("apply failed; see " + logs_.string());
   }
-  // Before this line come the documents, which the folder shows better.
+  // Skips the list of documents before this line; profiles.json has them.
   const std::size_t summary = text.find("applied as");
   std::printf("profiles %s",
               text.substr(std::min(summary, text.size())).c_str());
--- a/tests/demo/example_deployment.h
+++ b/tests/demo/example_deployment.h
@@ -12,7 +12,7 @@
 
 namespace gentianroute::testing {
 
-/// @brief One entry host of the deployment.
+/// @brief One entry host of the deployment with its daemon.
 struct EntryHost {
   std::string name;
   std::string data_centre;
@@ -21,27 +21,30 @@
   std::unique_ptr<Process> process;
 };
 
-/// @brief A deployment of examples/ on loopback: its daemons, and stand-ins for
-/// the platform and for every backend server.
+/// @brief A deployment of examples/ on loopback: its daemons and stand-ins for
+/// the platform and the backend servers.
 class ExampleDeployment {
  public:
-  /// @param folder with profiles.json, hosts.json, demo.json and settings/
-  /// @param logs made if it is missing; one file for each process
-  /// @param tokens that each stand-in engine generates for an answer
+  /// @param folder contains profiles.json, hosts.json, demo.json and settings/
+  /// @param logs folder for one log file per process; created if missing
+  /// @param tokens number of tokens that an engine generates per response
   ExampleDeployment(std::filesystem::path folder,
                     std::filesystem::path logs,
                     int tokens = 16);
 
-  /// @throws std::runtime_error if a process does not come up
+  /// @brief Starts all processes and applies the profiles.
+  /// @throws std::runtime_error if a daemon does not start or the apply fails
   void Start();
-  /// @brief Stops all daemons in the planned way.
-  /// @return how many did not end with 0
+  /// @brief Stops all daemons gracefully with SIGTERM.
+  /// @return number of daemons with an exit status other than 0
   int Stop();
 
   const std::vector<EntryHost>& entry_hosts() const { return entry_hosts_; }
+  /// @brief The example requests of demo.json.
   const nlohmann::json& requests() const { return requests_; }
-  /// @brief A caller's bearer key.
+  /// @brief Bearer key of a caller.
   const std::string& key() const { return key_; }
+  /// @brief File that receives the standard error of a process.
   std::string LogPath(const std::string& name) const;
 
  private:
--- a/tests/demo/main.cc
+++ b/tests/demo/main.cc
@@ -1,6 +1,6 @@
-// Brings up one deployment of examples/ on loopback with stand-ins, shows an
-// answered request of each service with its cost by stage, and stops it in the
-// planned way. Test-only.
+// Demo: starts a deployment of examples/ on loopback with stand-ins, sends its
+// example requests, prints each response with its cost by stage and then the
+// report, and stops the daemons gracefully. For tests only.
 
 #include <unistd.h>
 
@@ -82,13 +82,13 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-  CLI::App app{"one deployment on loopback with stand-ins"};
+  CLI::App app{"runs one deployment of examples/ on loopback with stand-ins"};
   std::string folder;
   std::string logs;
   app.add_option("folder", folder, "a folder of examples/")->required();
   app.add_option("--logs", logs, "folder for the processes' logs")->required();
   int hold = 0;
-  app.add_option("--hold", hold, "seconds to stay up before the report")
+  app.add_option("--hold", hold, "seconds to wait before the report")
       ->check(CLI::Range(0, 3600));
   CLI11_PARSE(app, argc, argv);
   try {
--- a/tests/demo/measure.cc
+++ b/tests/demo/measure.cc
@@ -1,6 +1,6 @@
-// Measures what the daemons of one deployment of examples/ cost: processor time
-// and memory while nothing is asked of them, and under load. Test-only; the
-// figures go into docs/CAPACITY.md.
+// Measures processor time and memory of the daemons of one deployment of
+// examples/, idle and under load. For tests only; the figures go into
+// docs/CAPACITY.md.
 
 #include <unistd.h>
 
@@ -23,10 +23,10 @@
 using gentianroute::testing::Process;
 using nlohmann::json;
 
-/// Means over the daemons, since they started.
+/// Means over the daemons; the processor time counts from their start.
 struct ResourceUsage {
   double processor_ms = 0;
-  double memory_kb = 0;
+  double memory_kb = 0;  ///< resident
 };
 
 double ReadProcessorMs(pid_t pid) {
@@ -64,8 +64,8 @@
   return {usage.processor_ms / count, usage.memory_kb / count};
 }
 
-/// Runs the load tool over all daemons.
-/// @return what it printed, as JSON
+/// Runs the load generator against all daemons.
+/// @return its JSON output
 json RunLoad(const ExampleDeployment& deployment, double rate, int seconds) {
   std::vector<std::string> command = {Binary("loadtool/load"),
                                       "--output",
@@ -112,7 +112,7 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-  CLI::App app{"cost of a deployment's daemons, idle and under load"};
+  CLI::App app{"measures a deployment's daemons, idle and under load"};
   std::string folder;
   std::string logs;
   int idle = 20;
@@ -121,10 +121,12 @@
   app.add_option("folder", folder, "a folder of examples/")->required();
   app.add_option("--logs", logs, "folder for the processes' logs")->required();
   int tokens = 16;
-  app.add_option("--tokens", tokens, "of each generated answer")
+  app.add_option("--tokens", tokens, "per generated response")
       ->check(CLI::Range(1, 10000));
-  app.add_option("--idle", idle, "seconds")->check(CLI::Range(1, 600));
-  app.add_option("--seconds", seconds, "of load")->check(CLI::Range(1, 600));
+  app.add_option("--idle", idle, "seconds without load")
+      ->check(CLI::Range(1, 600));
+  app.add_option("--seconds", seconds, "seconds of load")
+      ->check(CLI::Range(1, 600));
   app.add_option("--rate", rate, "requests a second")
       ->check(CLI::Range(1.0, 5000.0));
   CLI11_PARSE(app, argc, argv);
