--- a/tests/random/config_store.cc
+++ b/tests/random/config_store.cc
@@ -11,17 +11,17 @@
 
 }  // namespace
 
-void Require(bool holds, const char* what, TimePoint now) {
-  if (holds) {
+void Require(bool condition, const char* invariant, TimePoint now) {
+  if (condition) {
     return;
   }
   std::printf("VIOLATED at %.3f s: %s\n", Seconds(now.time_since_epoch()),
-              what);
+              invariant);
   std::fflush(stdout);
   std::_Exit(1);
 }
 
-void World::RunFor(Duration duration) {
+void EventSimulator::RunFor(Duration duration) {
   const TimePoint end = now_ + duration;
   while (!queue_.empty() && queue_.top().due <= end) {
     const Event event = queue_.top();
@@ -33,56 +33,58 @@
   now_ = end;
 }
 
-void Store::Transact(const TableTransaction& transaction,
-                     std::function<void(TransactResult)> done) {
-  if (out) {
-    const bool refused = world_.Chance(30);
+void SimulatedStore::Transact(const TableTransaction& transaction,
+                              std::function<void(TransactResult)> done) {
+  if (unavailable) {
+    const bool refused = simulator_.Chance(30);
     TransactResult result;
     result.status = refused ? TableStatus::kRefused : TableStatus::kUnknown;
-    world_.After(refused ? Duration{1} : kTimeout, [=] { done(result); });
+    simulator_.After(refused ? Duration{1} : kTimeout, [=] { done(result); });
     return;
   }
-  const std::uint64_t fate = healthy ? 99 : world_.Below(100);
-  if (fate < 3) {  // lost on the way there
-    world_.After(kTimeout, [done] { done({}); });
+  const std::uint64_t outcome = fault_free ? 99 : simulator_.Below(100);
+  if (outcome < 3) {  // lost on the way there
+    simulator_.After(kTimeout, [done] { done({}); });
     return;
   }
-  if (fate < 12) {  // the answer is lost, and the write may be late
-    const Duration late =
-        world_.Chance(50) ? world_.Between(1, 20) : world_.Between(500, 8000);
-    world_.After(late, [this, transaction] { Commit(transaction); });
-    world_.After(kTimeout, [done] { done({}); });
+  if (outcome < 12) {  // the answer is lost, and the write may be late
+    const Duration late = simulator_.Chance(50) ? simulator_.Between(1, 20)
+                                                : simulator_.Between(500, 8000);
+    simulator_.After(late, [this, transaction] { Commit(transaction); });
+    simulator_.After(kTimeout, [done] { done({}); });
     return;
   }
-  world_.After(world_.Between(1, 20), [this, transaction, done] {
+  simulator_.After(simulator_.Between(1, 20), [this, transaction, done] {
     const TransactResult result = Commit(transaction);
-    world_.After(world_.Between(1, 20), [done, result] { done(result); });
+    simulator_.After(simulator_.Between(1, 20),
+                     [done, result] { done(result); });
   });
 }
 
-void Store::Read(const std::vector<TableKey>& keys,
-                 std::function<void(ReadResult)> done) {
-  if (out || (!healthy && world_.Chance(3))) {
-    world_.After(kTimeout, [done] { done({}); });
+void SimulatedStore::Read(const std::vector<TableKey>& keys,
+                          std::function<void(ReadResult)> done) {
+  if (unavailable || (!fault_free && simulator_.Chance(3))) {
+    simulator_.After(kTimeout, [done] { done({}); });
     return;
   }
-  world_.After(world_.Between(1, 20), [this, keys, done] {
+  simulator_.After(simulator_.Between(1, 20), [this, keys, done] {
     ReadResult result;
     result.answered = true;
     for (const TableKey& key : keys) {
       result.rows.push_back(Find(key));
     }
-    world_.After(world_.Between(1, 20), [done, result] { done(result); });
+    simulator_.After(simulator_.Between(1, 20),
+                     [done, result] { done(result); });
   });
 }
 
-void Store::Get(const std::string& name,
-                std::function<void(ObjectResult)> done) {
-  if (out || (!healthy && world_.Chance(3))) {
-    world_.After(kTimeout, [done] { done({}); });
+void SimulatedStore::Get(const std::string& name,
+                         std::function<void(ObjectResult)> done) {
+  if (unavailable || (!fault_free && simulator_.Chance(3))) {
+    simulator_.After(kTimeout, [done] { done({}); });
     return;
   }
-  world_.After(world_.Between(1, 40), [this, name, done] {
+  simulator_.After(simulator_.Between(1, 40), [this, name, done] {
     ObjectResult result;
     result.answered = true;
     if (objects_.contains(name)) {
@@ -92,34 +94,35 @@
   });
 }
 
-void Store::Put(const std::string& name,
-                const std::string& content,
-                std::function<void(bool)> done) {
-  if (out) {
-    world_.After(kTimeout, [done] { done(false); });
+void SimulatedStore::Put(const std::string& name,
+                         const std::string& content,
+                         std::function<void(bool)> done) {
+  if (unavailable) {
+    simulator_.After(kTimeout, [done] { done(false); });
     return;
   }
-  const bool late = !healthy && world_.Chance(10);
-  world_.After(late ? world_.Between(1000, 20000) : world_.Between(1, 40),
-               [this, name, content, done, late] {
-                 objects_[name] = content;
-                 if (!late) {
-                   done(true);
-                 }
-               });
+  const bool late = !fault_free && simulator_.Chance(10);
+  simulator_.After(
+      late ? simulator_.Between(1000, 20000) : simulator_.Between(1, 40),
+      [this, name, content, done, late] {
+        objects_[name] = content;
+        if (!late) {
+          done(true);
+        }
+      });
   if (late) {
-    world_.After(kTimeout, [done] { done(false); });
+    simulator_.After(kTimeout, [done] { done(false); });
   }
 }
 
-TableRow Store::Find(const TableKey& key) const {
+TableRow SimulatedStore::Find(const TableKey& key) const {
   const auto found = rows_.find(key);
   return found == rows_.end()
              ? TableRow{key, "", 0}
              : TableRow{key, found->second.value, found->second.version};
 }
 
-TransactResult Store::Commit(const TableTransaction& transaction) {
+TransactResult SimulatedStore::Commit(const TableTransaction& transaction) {
   TransactResult result;
   result.status = TableStatus::kCommitted;
   for (const TableCondition& condition : transaction.conditions) {
@@ -138,25 +141,27 @@
     if (write.key.key.starts_with("rev/")) {
       const auto revision = codec_.Decode(*write.value);
       Require(revision.has_value(), "a revision's row can be read",
-              world_.now());
-      NoteRevision(*revision);
+              simulator_.now());
+      RecordRevision(*revision);
     }
   }
   return result;
 }
 
-void Store::NoteRevision(const ConfigRevision& revision) {
+void SimulatedStore::RecordRevision(const ConfigRevision& revision) {
   Require(revision.revision == head() + 1, "the log has no gap and no double",
-          world_.now());
+          simulator_.now());
   Require(change_ids_.insert(revision.change_id).second,
-          "a change is in the log once", world_.now());
-  Documents next = documents_at_.empty() ? Documents{} : documents_at_.back();
+          "a change is in the log once", simulator_.now());
+  Documents next = documents_by_revision_.empty()
+                       ? Documents{}
+                       : documents_by_revision_.back();
   for (const DocumentChange& change : revision.changes) {
     const auto found = next.find(change.FullName());
     const std::uint64_t base = found == next.end() ? 0 : found->second.revision;
     Require(base == change.base_revision,
             "no change overwrites one that its author did not see",
-            world_.now());
+            simulator_.now());
     if (change.body.empty()) {
       next.erase(change.FullName());
     } else {
@@ -164,19 +169,19 @@
     }
     ChangeCatalogue(catalogue_, change, revision.revision, codec_);
   }
-  documents_at_.push_back(std::move(next));
+  documents_by_revision_.push_back(std::move(next));
   Require(codec_.Check(catalogue_).empty(),
           "every revision holds together: no service without profile, no stage "
           "without pool",
-          world_.now());
+          simulator_.now());
 }
 
-const Documents& Store::At(std::uint64_t revision) const {
+const Documents& SimulatedStore::DocumentsAt(std::uint64_t revision) const {
   static const Documents kNone;
-  return revision == 0 ? kNone : documents_at_.at(revision - 1);
+  return revision == 0 ? kNone : documents_by_revision_.at(revision - 1);
 }
 
-std::size_t Store::revision_rows() const {
+std::size_t SimulatedStore::CountRevisionRows() const {
   return static_cast<std::size_t>(std::ranges::count_if(
       rows_,
       [](const auto& row) { return row.first.key.starts_with("rev/"); }));
--- a/tests/random/config_store.h
+++ b/tests/random/config_store.h
@@ -17,9 +17,9 @@
 namespace gentianroute::random_config {
 
 /// @brief Virtual time: a queue of events and one seeded generator.
-class World {
+class EventSimulator {
  public:
-  explicit World(std::uint64_t seed) : rng_(seed) {}
+  explicit EventSimulator(std::uint64_t seed) : rng_(seed) {}
 
   TimePoint now() const { return now_; }
   std::uint64_t events() const { return events_; }
@@ -31,7 +31,7 @@
                      Below(static_cast<std::uint64_t>(high_ms - low_ms) + 1)));
   }
   void After(Duration delay, std::function<void()> event) {
-    queue_.push({now_ + delay, next_++, std::move(event)});
+    queue_.push({now_ + delay, next_sequence_++, std::move(event)});
   }
   void RunFor(Duration duration);
 
@@ -46,19 +46,19 @@
   };
   std::mt19937_64 rng_;
   TimePoint now_{};
-  std::uint64_t next_ = 0;
+  std::uint64_t next_sequence_ = 0;
   std::uint64_t events_ = 0;
   std::priority_queue<Event> queue_;
 };
 
 /// @brief The platform's tables and objects with outages, lost answers and
 /// writes that take effect late. Keeps what is true to check daemons against.
-class Store {
+class SimulatedStore {
  public:
-  explicit Store(World& world) : world_(world) {}
+  explicit SimulatedStore(EventSimulator& simulator) : simulator_(simulator) {}
 
-  bool out = false;      ///< answers nobody
-  bool healthy = false;  ///< loses and delays nothing
+  bool unavailable = false;  ///< answers nobody
+  bool fault_free = false;   ///< loses and delays nothing
 
   void Transact(const TableTransaction& transaction,
                 std::function<void(TransactResult)> done);
@@ -69,12 +69,12 @@
            const std::string& content,
            std::function<void(bool)> done);
 
-  std::uint64_t head() const { return documents_at_.size(); }
-  const Documents& At(std::uint64_t revision) const;
-  bool Applied(const std::string& change_id) const {
+  std::uint64_t head() const { return documents_by_revision_.size(); }
+  const Documents& DocumentsAt(std::uint64_t revision) const;
+  bool IsApplied(const std::string& change_id) const {
     return change_ids_.contains(change_id);
   }
-  std::size_t revision_rows() const;
+  std::size_t CountRevisionRows() const;
 
  private:
   struct Row {
@@ -82,21 +82,21 @@
     std::uint64_t version = 0;
   };
   TransactResult Commit(const TableTransaction& transaction);
-  void NoteRevision(const ConfigRevision& revision);
+  void RecordRevision(const ConfigRevision& revision);
   TableRow Find(const TableKey& key) const;
 
-  World& world_;
+  EventSimulator& simulator_;
   JsonConfigCodec codec_;
   std::map<TableKey, Row> rows_;
   std::map<std::string, std::string> objects_;
   std::uint64_t next_version_ = 1;
-  std::vector<Documents> documents_at_;
+  std::vector<Documents> documents_by_revision_;
   std::set<std::string> change_ids_;
   Catalogue catalogue_;
 };
 
 /// @brief Ends the run with exit code 1 when what must hold does not.
-void Require(bool holds, const char* what, TimePoint now);
+void Require(bool condition, const char* invariant, TimePoint now);
 
 }  // namespace gentianroute::random_config
 
--- a/tests/random/order_run.h
+++ b/tests/random/order_simulation.h
@@ -1,5 +1,5 @@
-#ifndef GENTIANROUTE_TESTS_RANDOM_ORDER_RUN_H_
-#define GENTIANROUTE_TESTS_RANDOM_ORDER_RUN_H_
+#ifndef GENTIANROUTE_TESTS_RANDOM_ORDER_SIMULATION_H_
+#define GENTIANROUTE_TESTS_RANDOM_ORDER_SIMULATION_H_
 
 #include <cstdint>
 
@@ -14,8 +14,8 @@
 
 /// @brief Issuers of orders over leases, against engines that check the fencing
 /// number and engines that ignore it.
-OrderCounts RunOrders(std::uint64_t seed, std::uint64_t events);
+OrderCounts RunOrderSimulation(std::uint64_t seed, std::uint64_t events);
 
 }  // namespace gentianroute::random_config
 
-#endif  // GENTIANROUTE_TESTS_RANDOM_ORDER_RUN_H_
+#endif  // GENTIANROUTE_TESTS_RANDOM_ORDER_SIMULATION_H_
--- a/tests/random/random_config.cc
+++ b/tests/random/random_config.cc
@@ -13,7 +13,7 @@
 #include "gentianroute/decision/config_follower.h"
 #include "gentianroute/decision/poll_schedule.h"
 #include "gentianroute/entry/config_sync.h"
-#include "order_run.h"
+#include "order_simulation.h"
 
 namespace gentianroute::random_config {
 namespace {
@@ -24,18 +24,18 @@
 constexpr std::size_t kDataCentres = 3;
 constexpr std::size_t kFanout = 2;
 constexpr std::size_t kOperators = 6;
-constexpr std::size_t kNames = 5;
+constexpr std::size_t kDocumentNames = 5;
 constexpr ConfigRetention kRetention{16, 256, 4};
 /// From healing to everybody at the head: a few silent periods and a poll.
-constexpr Duration kConvergence = seconds(20);
+constexpr Duration kConvergenceTime = seconds(20);
 
-class Run;
+class ConfigSimulation;
 
 /// One process: what it knows is lost when it is killed.
-class Process final : public TableService, public ObjectStore {
+class SimulatedDaemon final : public TableService, public ObjectStore {
  public:
-  Process(Run& run, std::size_t index);
-  ~Process() override = default;
+  SimulatedDaemon(ConfigSimulation& simulation, std::size_t index);
+  ~SimulatedDaemon() override = default;
 
   void Transact(TableTransaction transaction,
                 std::function<void(TransactResult)> done) override;
@@ -60,82 +60,85 @@
  private:
   void OnChanged();
 
-  Run& run_;
+  ConfigSimulation& simulation_;
   std::size_t index_;
-  std::uint64_t seen_ = 0;
+  std::uint64_t last_revision_ = 0;
 };
 
 /// An operator's change, until the operator knows what became of it.
-struct Wish {
+struct OperatorChange {
   ConfigRevision change;
-  std::uint32_t open = 0;  ///< attempts whose answer is not in
+  std::uint32_t pending_attempts = 0;  ///< attempts whose answer is not in
   std::uint32_t attempts = 0;
   bool settled = false;
 };
 
-class Run {
+class ConfigSimulation {
  public:
-  explicit Run(std::uint64_t seed) : world(seed), store(world) {}
-  void Go(std::uint64_t events);
+  explicit ConfigSimulation(std::uint64_t seed)
+      : simulator(seed), store(simulator) {}
+  void Run(std::uint64_t events);
 
   /// Runs an event at a process unless it has been killed since; a frozen
   /// process gets it when it thaws.
-  void At(std::size_t index,
-          std::uint64_t generation,
-          const std::function<void(Process&)>& event);
+  void RunAt(std::size_t index,
+             std::uint64_t generation,
+             const std::function<void(SimulatedDaemon&)>& event);
   void Send(std::size_t from,
             std::size_t to,
-            const std::function<void(Process&)>& event);
+            const std::function<void(SimulatedDaemon&)>& event);
   std::uint64_t generation(std::size_t index) const {
     return hosts_[index].generation;
   }
   bool ReachesStore(std::size_t data_centre) const {
-    return cut_from_store_ != data_centre;
+    return isolated_from_store_ != data_centre;
   }
 
-  World world;
-  Store store;
+  EventSimulator simulator;
+  SimulatedStore store;
   JsonConfigCodec codec;
   std::uint64_t applied = 0;
   std::uint64_t conflicts = 0;
   std::uint64_t invalid = 0;
   std::uint64_t asked_again = 0;
-  std::uint64_t snapshots_taken = 0;
+  std::uint64_t snapshots_read = 0;
 
  private:
   struct Host {
-    std::unique_ptr<Process> process;
+    std::unique_ptr<SimulatedDaemon> daemon;
     std::uint64_t generation = 0;
     TimePoint frozen_until{};
   };
 
   void Start(std::size_t index);
   void Tick(std::size_t index);
-  void Fault();
-  void Heal();
-  void Operate();
-  void Attempt(const std::shared_ptr<Wish>& wish);
-  void OnEnd(const std::shared_ptr<Wish>& wish, const ConfigApply& apply);
+  void InjectFault();
+  void EndFaults();
+  void SubmitRandomChange();
+  void AttemptChange(const std::shared_ptr<OperatorChange>& operator_change);
+  void OnAttemptDone(const std::shared_ptr<OperatorChange>& operator_change,
+                     const ConfigApply& apply);
   DocumentChange RandomChange(const Documents& seen);
 
   std::vector<Host> hosts_ = std::vector<Host>(kDaemons);
-  std::size_t cut_from_store_ = kDataCentres;
-  std::size_t cut_from_peers_ = kDataCentres;
+  std::size_t isolated_from_store_ = kDataCentres;
+  std::size_t isolated_from_peers_ = kDataCentres;
   std::uint64_t next_change_ = 0;
-  bool faults_ = true;
+  bool faults_enabled_ = true;
 };
 
-Process::Process(Run& run, std::size_t index)
-    : follower({16}, run.codec),
+SimulatedDaemon::SimulatedDaemon(ConfigSimulation& simulation,
+                                 std::size_t index)
+    : follower({16}, simulation.codec),
       schedule({"host" + std::to_string(index), 1}),
       sync(
           *this,
           *this,
           follower,
-          run.codec,
+          simulation.codec,
           [this] { OnChanged(); },
           kRetention),
-      run_(run),
+      simulation_(simulation),
       index_(index) {
   std::vector<std::string> neighbours;
   for (std::size_t i = data_centre(); i < kDaemons; i += kDataCentres) {
@@ -144,313 +147,343 @@
   schedule.SetPeers(neighbours);
 }
 
-void Process::Transact(TableTransaction transaction,
-                       std::function<void(TransactResult)> done) {
-  const std::uint64_t generation = run_.generation(index_);
-  auto answer = [&run = run_, index = index_, generation,
+void SimulatedDaemon::Transact(TableTransaction transaction,
+                               std::function<void(TransactResult)> done) {
+  const std::uint64_t generation = simulation_.generation(index_);
+  auto answer = [&simulation = simulation_, index = index_, generation,
                  done](const TransactResult& result) {
-    run.At(index, generation, [done, result](Process&) { done(result); });
+    simulation.RunAt(index, generation,
+                     [done, result](SimulatedDaemon&) { done(result); });
   };
-  if (!run_.ReachesStore(data_centre())) {
-    run_.world.After(seconds(1), [answer] { answer({}); });
+  if (!simulation_.ReachesStore(data_centre())) {
+    simulation_.simulator.After(seconds(1), [answer] { answer({}); });
     return;
   }
-  run_.store.Transact(transaction, answer);
+  simulation_.store.Transact(transaction, answer);
 }
 
-void Process::Read(std::vector<TableKey> keys,
-                   std::function<void(ReadResult)> done) {
-  const std::uint64_t generation = run_.generation(index_);
-  auto answer = [&run = run_, index = index_, generation,
+void SimulatedDaemon::Read(std::vector<TableKey> keys,
+                           std::function<void(ReadResult)> done) {
+  const std::uint64_t generation = simulation_.generation(index_);
+  auto answer = [&simulation = simulation_, index = index_, generation,
                  done](const ReadResult& result) {
-    run.At(index, generation, [done, result](Process&) { done(result); });
+    simulation.RunAt(index, generation,
+                     [done, result](SimulatedDaemon&) { done(result); });
   };
-  if (!run_.ReachesStore(data_centre())) {
-    run_.world.After(seconds(1), [answer] { answer({}); });
+  if (!simulation_.ReachesStore(data_centre())) {
+    simulation_.simulator.After(seconds(1), [answer] { answer({}); });
     return;
   }
-  run_.store.Read(keys, answer);
+  simulation_.store.Read(keys, answer);
 }
 
-void Process::Get(std::string name, std::function<void(ObjectResult)> done) {
-  const std::uint64_t generation = run_.generation(index_);
-  ++run_.snapshots_taken;
-  run_.store.Get(name, [&run = run_, index = index_, generation,
-                        done](const ObjectResult& result) {
-    run.At(index, generation, [done, result](Process&) { done(result); });
+void SimulatedDaemon::Get(std::string name,
+                          std::function<void(ObjectResult)> done) {
+  const std::uint64_t generation = simulation_.generation(index_);
+  ++simulation_.snapshots_read;
+  simulation_.store.Get(name, [&simulation = simulation_, index = index_,
+                               generation, done](const ObjectResult& result) {
+    simulation.RunAt(index, generation,
+                     [done, result](SimulatedDaemon&) { done(result); });
   });
 }
 
-void Process::Put(std::string name,
-                  std::string content,
-                  std::function<void(bool)> done) {
-  const std::uint64_t generation = run_.generation(index_);
-  run_.store.Put(name, content,
-                 [&run = run_, index = index_, generation, done](bool stored) {
-                   run.At(index, generation,
-                          [done, stored](Process&) { done(stored); });
-                 });
+void SimulatedDaemon::Put(std::string name,
+                          std::string content,
+                          std::function<void(bool)> done) {
+  const std::uint64_t generation = simulation_.generation(index_);
+  simulation_.store.Put(
+      name, content,
+      [&simulation = simulation_, index = index_, generation,
+       done](bool stored) {
+        simulation.RunAt(index, generation,
+                         [done, stored](SimulatedDaemon&) { done(stored); });
+      });
 }
 
-void Process::Poll() {
-  if (schedule.IsPollDue(run_.world.now())) {
+void SimulatedDaemon::Poll() {
+  if (schedule.IsPollDue(simulation_.simulator.now())) {
     sync.Poll([this](bool answered) {
-      schedule.OnPolled(run_.world.now(), answered);
+      schedule.OnPolled(simulation_.simulator.now(), answered);
     });
   }
 }
 
-void Process::Gossip() {
+void SimulatedDaemon::Gossip() {
   const std::uint64_t revision = follower.revision();
-  const Duration age = schedule.Age(run_.world.now());
+  const Duration age = schedule.Age(simulation_.simulator.now());
   for (std::size_t i = 0; i < kFanout; ++i) {
-    const std::size_t peer = run_.world.Below(kDaemons);
-    run_.Send(index_, peer, [this_index = index_, revision, age](Process& to) {
-      to.OnDigest(this_index, revision, age);
-    });
+    const std::size_t peer = simulation_.simulator.Below(kDaemons);
+    simulation_.Send(index_, peer,
+                     [this_index = index_, revision, age](SimulatedDaemon& to) {
+                       to.OnDigest(this_index, revision, age);
+                     });
   }
 }
 
-void Process::OnDigest(std::size_t peer, std::uint64_t revision, Duration age) {
+void SimulatedDaemon::OnDigest(std::size_t peer,
+                               std::uint64_t revision,
+                               Duration age) {
   if (age != Duration::max()) {
-    schedule.OnPeerReadAge(run_.world.now(), age);
+    schedule.OnPeerReadAge(simulation_.simulator.now(), age);
   }
   follower.OnRevisionSeen(revision);
   if (revision < follower.revision()) {  // the other half of an exchange
-    run_.Send(index_, peer,
-              [this_index = index_, own = follower.revision()](Process& to) {
-                to.OnDigest(this_index, own, Duration::max());
-              });
+    simulation_.Send(
+        index_, peer,
+        [this_index = index_, own = follower.revision()](SimulatedDaemon& to) {
+          to.OnDigest(this_index, own, Duration::max());
+        });
   }
   if (revision <= follower.revision()) {
     return;
   }
-  run_.Send(index_, peer,
-            [this_index = index_, after = follower.revision()](Process& from) {
-              const auto revisions = from.follower.After(after, 8);
-              const ConfigSnapshot snapshot = from.follower.Snapshot();
-              from.run_.Send(
-                  from.index_, this_index, [revisions, snapshot](Process& to) {
-                    const bool changed = revisions.empty()
-                                             ? to.follower.Apply(snapshot)
-                                             : to.follower.Apply(revisions);
-                    if (changed) {
-                      to.OnChanged();
-                    }
-                  });
-            });
+  simulation_.Send(index_, peer,
+                   [this_index = index_,
+                    after = follower.revision()](SimulatedDaemon& from) {
+                     const auto revisions = from.follower.After(after, 8);
+                     const ConfigSnapshot snapshot = from.follower.Snapshot();
+                     from.simulation_.Send(
+                         from.index_, this_index,
+                         [revisions, snapshot](SimulatedDaemon& to) {
+                           const bool changed =
+                               revisions.empty() ? to.follower.Apply(snapshot)
+                                                 : to.follower.Apply(revisions);
+                           if (changed) {
+                             to.OnChanged();
+                           }
+                         });
+                   });
 }
 
-void Process::OnChanged() {
+void SimulatedDaemon::OnChanged() {
   Check();
   Gossip();
 }
 
-void Process::Check() {
+void SimulatedDaemon::Check() {
   const std::uint64_t revision = follower.revision();
-  Require(revision >= seen_, "a daemon's revision only grows",
-          run_.world.now());
-  seen_ = revision;
-  Require(revision <= run_.store.head(), "no daemon runs ahead of the log",
-          run_.world.now());
-  const Documents& truth = run_.store.At(revision);
-  const Documents& held = follower.documents();
-  const bool same =
-      std::ranges::equal(truth, held, [](const auto& left, const auto& right) {
+  Require(revision >= last_revision_, "a daemon's revision only grows",
+          simulation_.simulator.now());
+  last_revision_ = revision;
+  Require(revision <= simulation_.store.head(),
+          "no daemon runs ahead of the log", simulation_.simulator.now());
+  const Documents& expected = simulation_.store.DocumentsAt(revision);
+  const Documents& actual = follower.documents();
+  const bool equal = std::ranges::equal(
+      expected, actual, [](const auto& left, const auto& right) {
         return left.first == right.first &&
                left.second.body == right.second.body &&
                left.second.revision == right.second.revision;
       });
-  Require(same, "a daemon holds what the log says at its revision",
-          run_.world.now());
+  Require(equal, "a daemon holds what the log says at its revision",
+          simulation_.simulator.now());
 }
 
-void Run::At(std::size_t index,
-             std::uint64_t generation,
-             const std::function<void(Process&)>& event) {
+void ConfigSimulation::RunAt(
+    std::size_t index,
+    std::uint64_t generation,
+    const std::function<void(SimulatedDaemon&)>& event) {
   Host& host = hosts_[index];
   if (host.generation != generation) {
     return;
   }
-  if (world.now() < host.frozen_until) {
-    world.After(host.frozen_until - world.now(),
-                [=, this] { At(index, generation, event); });
+  if (simulator.now() < host.frozen_until) {
+    simulator.After(host.frozen_until - simulator.now(),
+                    [=, this] { RunAt(index, generation, event); });
     return;
   }
-  event(*host.process);
+  event(*host.daemon);
 }
 
-void Run::Send(std::size_t from,
-               std::size_t to,
-               const std::function<void(Process&)>& event) {
-  const bool apart = from % kDataCentres != to % kDataCentres &&
-                     (from % kDataCentres == cut_from_peers_ ||
-                      to % kDataCentres == cut_from_peers_);
-  if (apart || from == to || (faults_ && world.Chance(2))) {
+void ConfigSimulation::Send(
+    std::size_t from,
+    std::size_t to,
+    const std::function<void(SimulatedDaemon&)>& event) {
+  const bool partitioned = from % kDataCentres != to % kDataCentres &&
+                           (from % kDataCentres == isolated_from_peers_ ||
+                            to % kDataCentres == isolated_from_peers_);
+  if (partitioned || from == to || (faults_enabled_ && simulator.Chance(2))) {
     return;
   }
   // A message that arrives late comes from a peer that is stale by then.
-  const Duration delay = faults_ && world.Chance(3) ? world.Between(500, 5000)
-                                                    : world.Between(1, 25);
-  world.After(delay, [=, this] { At(to, hosts_[to].generation, event); });
+  const Duration delay = faults_enabled_ && simulator.Chance(3)
+                             ? simulator.Between(500, 5000)
+                             : simulator.Between(1, 25);
+  simulator.After(delay,
+                  [=, this] { RunAt(to, hosts_[to].generation, event); });
 }
 
-void Run::Start(std::size_t index) {
+void ConfigSimulation::Start(std::size_t index) {
   Host& host = hosts_[index];
   ++host.generation;
   host.frozen_until = {};
-  host.process = std::make_unique<Process>(*this, index);
+  host.daemon = std::make_unique<SimulatedDaemon>(*this, index);
 }
 
-void Run::Tick(std::size_t index) {
-  world.After(seconds(1), [this, index] { Tick(index); });
-  At(index, hosts_[index].generation, [](Process& process) {
-    process.Poll();
-    process.Gossip();
+void ConfigSimulation::Tick(std::size_t index) {
+  simulator.After(seconds(1), [this, index] { Tick(index); });
+  RunAt(index, hosts_[index].generation, [](SimulatedDaemon& daemon) {
+    daemon.Poll();
+    daemon.Gossip();
   });
 }
 
-void Run::Fault() {
-  world.After(world.Between(200, 3000), [this] { Fault(); });
-  if (!faults_) {
+void ConfigSimulation::InjectFault() {
+  simulator.After(simulator.Between(200, 3000), [this] { InjectFault(); });
+  if (!faults_enabled_) {
     return;
   }
-  const std::size_t victim = world.Below(kDaemons);
-  switch (world.Below(8)) {
+  const std::size_t index = simulator.Below(kDaemons);
+  switch (simulator.Below(8)) {
     case 0:
-      Start(victim);
+      Start(index);
       return;
     case 1:
-      hosts_[victim].frozen_until = world.now() + world.Between(100, 15000);
+      hosts_[index].frozen_until =
+          simulator.now() + simulator.Between(100, 15000);
       return;
     case 2:
-      store.out = true;
+      store.unavailable = true;
       return;
     case 3:
-      cut_from_peers_ = world.Below(kDataCentres);
+      isolated_from_peers_ = simulator.Below(kDataCentres);
       return;
     case 4:
-      cut_from_store_ = world.Below(kDataCentres);
+      isolated_from_store_ = simulator.Below(kDataCentres);
       return;
     default:
-      store.out = false;
-      cut_from_peers_ = cut_from_store_ = kDataCentres;
+      store.unavailable = false;
+      isolated_from_peers_ = isolated_from_store_ = kDataCentres;
   }
 }
 
-void Run::Heal() {
-  faults_ = false;
-  store.out = false;
-  store.healthy = true;
-  cut_from_peers_ = cut_from_store_ = kDataCentres;
+void ConfigSimulation::EndFaults() {
+  faults_enabled_ = false;
+  store.unavailable = false;
+  store.fault_free = true;
+  isolated_from_peers_ = isolated_from_store_ = kDataCentres;
   for (Host& host : hosts_) {
     host.frozen_until = {};
   }
 }
 
-DocumentChange Run::RandomChange(const Documents& seen) {
-  const auto number = [this] { return std::to_string(world.Below(kNames)); };
+DocumentChange ConfigSimulation::RandomChange(const Documents& seen) {
+  const auto number = [this] {
+    return std::to_string(simulator.Below(kDocumentNames));
+  };
   DocumentChange change;
-  change.kind = static_cast<DocumentKind>(world.Below(3));
+  change.kind = static_cast<DocumentKind>(simulator.Below(3));
   change.name = number();
-  const std::string named = R"({"name":")" + change.name + '"';
+  const std::string name_field = R"({"name":")" + change.name + '"';
   if (change.kind == DocumentKind::kPool) {
-    change.body =
-        named + R"(,"fenced":)" + (world.Chance(50) ? "true}" : "false}");
+    change.body = name_field + R"(,"fenced":)" +
+                  (simulator.Chance(50) ? "true}" : "false}");
   } else if (change.kind == DocumentKind::kProfile) {
-    change.body = named + R"(,"stages":[{"name":"a","pool":")" + number() +
-                  R"(","expectedMs":)" + std::to_string(world.Below(999) + 1) +
-                  "}]}";
+    change.body = name_field + R"(,"stages":[{"name":"a","pool":")" + number() +
+                  R"(","expectedMs":)" +
+                  std::to_string(simulator.Below(999) + 1) + "}]}";
   } else {
-    change.body = named + R"(,"profile":")" + number() + R"("})";
+    change.body = name_field + R"(,"profile":")" + number() + R"("})";
   }
   const auto found = seen.find(change.FullName());
   if (found != seen.end()) {
     change.base_revision = found->second.revision;
-    if (world.Chance(25)) {
+    if (simulator.Chance(25)) {
       change.body.clear();
     }
   }
   return change;
 }
 
-void Run::Operate() {
-  world.After(world.Between(100, 4000), [this] { Operate(); });
-  if (!faults_) {
+void ConfigSimulation::SubmitRandomChange() {
+  simulator.After(simulator.Between(100, 4000),
+                  [this] { SubmitRandomChange(); });
+  if (!faults_enabled_) {
     return;
   }
-  auto wish = std::make_shared<Wish>();
-  wish->change.change_id = "change" + std::to_string(next_change_++);
+  auto operator_change = std::make_shared<OperatorChange>();
+  operator_change->change.change_id = "change" + std::to_string(next_change_++);
   const Documents& seen =
-      hosts_[world.Below(kDaemons)].process->follower.documents();
-  wish->change.changes.push_back(RandomChange(seen));
-  Attempt(wish);
+      hosts_[simulator.Below(kDaemons)].daemon->follower.documents();
+  operator_change->change.changes.push_back(RandomChange(seen));
+  AttemptChange(operator_change);
 }
 
-void Run::Attempt(const std::shared_ptr<Wish>& wish) {
-  constexpr std::uint32_t kMostAttempts = 6;
-  if (!faults_) {
-    world.After(kConvergence, [this, wish] { Attempt(wish); });
+void ConfigSimulation::AttemptChange(
+    const std::shared_ptr<OperatorChange>& operator_change) {
+  constexpr std::uint32_t kMaxAttempts = 6;
+  if (!faults_enabled_) {
+    simulator.After(kConvergenceTime, [this, operator_change] {
+      AttemptChange(operator_change);
+    });
     return;
   }
-  if (wish->settled || wish->attempts++ == kMostAttempts) {
+  if (operator_change->settled || operator_change->attempts++ == kMaxAttempts) {
     return;
   }
-  asked_again += wish->attempts > 1 ? 1 : 0;
-  ++wish->open;
-  const std::size_t index = world.Below(kDaemons);
-  At(index, hosts_[index].generation, [this, wish](Process& process) {
-    process.sync.Apply(wish->change, [this, wish](const ConfigApply& apply) {
-      OnEnd(wish, apply);
-    });
-  });
+  asked_again += operator_change->attempts > 1 ? 1 : 0;
+  ++operator_change->pending_attempts;
+  const std::size_t index = simulator.Below(kDaemons);
+  RunAt(index, hosts_[index].generation,
+        [this, operator_change](SimulatedDaemon& daemon) {
+          daemon.sync.Apply(operator_change->change,
+                            [this, operator_change](const ConfigApply& apply) {
+                              OnAttemptDone(operator_change, apply);
+                            });
+        });
   // The daemon may die or freeze: the operator asks another one.
-  world.After(world.Between(8000, 60000), [this, wish] { Attempt(wish); });
+  simulator.After(simulator.Between(8000, 60000),
+                  [this, operator_change] { AttemptChange(operator_change); });
 }
 
-void Run::OnEnd(const std::shared_ptr<Wish>& wish, const ConfigApply& apply) {
-  --wish->open;
-  const bool stands = store.Applied(wish->change.change_id);
+void ConfigSimulation::OnAttemptDone(
+    const std::shared_ptr<OperatorChange>& operator_change,
+    const ConfigApply& apply) {
+  --operator_change->pending_attempts;
+  const bool in_log = store.IsApplied(operator_change->change.change_id);
   switch (apply.state()) {
     case ConfigApply::State::kApplied:
-      Require(stands, "a change that is said to be applied is in the log",
-              world.now());
-      applied += wish->settled ? 0 : 1;
-      wish->settled = true;
+      Require(in_log, "a change that is said to be applied is in the log",
+              simulator.now());
+      applied += operator_change->settled ? 0 : 1;
+      operator_change->settled = true;
       return;
     case ConfigApply::State::kConflict:
     case ConfigApply::State::kInvalid:
-      Require(!stands, "a change that is refused is not in the log",
-              world.now());
+      Require(!in_log, "a change that is refused is not in the log",
+              simulator.now());
       ++(apply.state() == ConfigApply::State::kConflict ? conflicts : invalid);
-      wish->settled = true;
+      operator_change->settled = true;
       return;
     default:
-      world.After(world.Between(100, 30000), [this, wish] { Attempt(wish); });
+      simulator.After(simulator.Between(100, 30000), [this, operator_change] {
+        AttemptChange(operator_change);
+      });
   }
 }
 
-void Run::Go(std::uint64_t events) {
+void ConfigSimulation::Run(std::uint64_t events) {
   for (std::size_t i = 0; i < kDaemons; ++i) {
     Start(i);
     Tick(i);
   }
   for (std::size_t i = 0; i < kOperators; ++i) {
-    Operate();
+    SubmitRandomChange();
   }
-  Fault();
-  while (world.events() < events) {
-    faults_ = true;
-    store.healthy = false;
-    world.RunFor(seconds(120));
-    Heal();
-    world.RunFor(kConvergence);
+  InjectFault();
+  while (simulator.events() < events) {
+    faults_enabled_ = true;
+    store.fault_free = false;
+    simulator.RunFor(seconds(120));
+    EndFaults();
+    simulator.RunFor(kConvergenceTime);
     for (const Host& host : hosts_) {
-      host.process->Check();
-      Require(host.process->follower.revision() == store.head() &&
-                  host.process->follower.known(),
+      host.daemon->Check();
+      Require(host.daemon->follower.revision() == store.head() &&
+                  host.daemon->follower.known(),
               "every daemon reaches the head soon after faults end",
-              world.now());
+              simulator.now());
     }
   }
 }
@@ -470,20 +503,21 @@
   for (std::uint64_t i = 0; i < seeds; ++i) {
     std::printf("seed=%s ", std::to_string(seed + i).c_str());
     std::fflush(stdout);
-    gentianroute::random_config::Run run(seed + i);
-    run.Go(events);
+    gentianroute::random_config::ConfigSimulation simulation(seed + i);
+    simulation.Run(events);
     std::printf(
         "events=%llu revisions=%llu rows=%zu applied=%llu conflicts=%llu "
         "invalid=%llu asked_again=%llu snapshots_read=%llu\n",
-        static_cast<unsigned long long>(run.world.events()),
-        static_cast<unsigned long long>(run.store.head()),
-        run.store.revision_rows(), static_cast<unsigned long long>(run.applied),
-        static_cast<unsigned long long>(run.conflicts),
-        static_cast<unsigned long long>(run.invalid),
-        static_cast<unsigned long long>(run.asked_again),
-        static_cast<unsigned long long>(run.snapshots_taken));
+        static_cast<unsigned long long>(simulation.simulator.events()),
+        static_cast<unsigned long long>(simulation.store.head()),
+        simulation.store.CountRevisionRows(),
+        static_cast<unsigned long long>(simulation.applied),
+        static_cast<unsigned long long>(simulation.conflicts),
+        static_cast<unsigned long long>(simulation.invalid),
+        static_cast<unsigned long long>(simulation.asked_again),
+        static_cast<unsigned long long>(simulation.snapshots_read));
     const auto orders =
-        gentianroute::random_config::RunOrders(seed + i, events / 4);
+        gentianroute::random_config::RunOrderSimulation(seed + i, events / 4);
     std::printf("  orders: events=%llu terms=%llu sent=%llu refused=%llu\n",
                 static_cast<unsigned long long>(orders.events),
                 static_cast<unsigned long long>(orders.terms),
