--- a/tests/random/claim_histories.cc
+++ b/tests/random/claim_histories.cc
@@ -13,148 +13,164 @@
 using namespace gentianroute;           // NOLINT(google-build-using-namespace)
 using namespace gentianroute::testing;  // NOLINT(google-build-using-namespace)
 
-constexpr std::size_t kLedgers = 3;
-constexpr std::uint8_t kOperations = 10;
+constexpr std::size_t kLedgerCount = 3;
+constexpr std::uint8_t kOperationCount = 10;
 
 /// @brief Three daemons that want one key.
 class ClaimHistory {
  public:
   ClaimHistory() {
-    for (std::size_t i = 0; i < kLedgers; ++i) {
+    for (std::size_t i = 0; i < kLedgerCount; ++i) {
       ledgers_.at(i) = std::make_unique<ClaimLedger>(
           ClaimLedger::Options{"daemon-" + std::to_string(i), 1}, codec_);
     }
   }
 
-  void Apply(std::size_t who, std::uint8_t operation) {
+  void Apply(std::size_t index, std::uint8_t operation) {
     static constexpr std::array<void (ClaimHistory::*)(std::size_t),
-                                kOperations>
-        kTable = {&ClaimHistory::Begin,      &ClaimHistory::Commit,
-                  &ClaimHistory::LoseAnswer, &ClaimHistory::DelayWrite,
-                  &ClaimHistory::LoseWrite,  &ClaimHistory::Refuse,
-                  &ClaimHistory::ApplyLate,  &ClaimHistory::GiveBack,
-                  &ClaimHistory::Run,        &ClaimHistory::Pause};
-    (this->*kTable.at(operation))(who);
-    for (std::size_t i = 0; i < kLedgers; ++i) {
-      Collect(i);
+                                kOperationCount>
+        kHandlers = {&ClaimHistory::Begin,
+                     &ClaimHistory::Commit,
+                     &ClaimHistory::LoseAnswer,
+                     &ClaimHistory::DelayWrite,
+                     &ClaimHistory::LoseWrite,
+                     &ClaimHistory::RejectOperation,
+                     &ClaimHistory::ApplyDelayedWrite,
+                     &ClaimHistory::ReleaseClaim,
+                     &ClaimHistory::RunClaimed,
+                     &ClaimHistory::AdvanceTime};
+    (this->*kHandlers.at(operation))(index);
+    for (std::size_t i = 0; i < kLedgerCount; ++i) {
+      CollectResults(i);
     }
   }
 
  private:
-  void Begin(std::size_t who) {
-    ledgers_.at(who)->Begin(now_, 0, RequestId{1}, "org", "key", "body");
-    Pause(who);
+  void Begin(std::size_t index) {
+    ledgers_.at(index)->Begin(now_, 0, RequestId{1}, "org", "key", "body");
+    AdvanceTime(index);
   }
-  void Commit(std::size_t who) { Answer(who, true, true, false); }
-  void LoseAnswer(std::size_t who) { Answer(who, true, false, false); }
-  void DelayWrite(std::size_t who) { Answer(who, false, false, true); }
-  void LoseWrite(std::size_t who) { Answer(who, false, false, false); }
-
-  void Refuse(std::size_t who) {
-    if (const auto step = NextStep(who)) {
-      step->kind == ClaimOperation::Kind::kRead
-          ? ledgers_.at(who)->OnRead(now_, step->id, {})
-          : ledgers_.at(who)->OnTransacted(now_, step->id,
-                                           {TableStatus::kRefused, {}, {}});
+  void Commit(std::size_t index) { ProcessOperation(index, true, true, false); }
+  void LoseAnswer(std::size_t index) {
+    ProcessOperation(index, true, false, false);
+  }
+  void DelayWrite(std::size_t index) {
+    ProcessOperation(index, false, false, true);
+  }
+  void LoseWrite(std::size_t index) {
+    ProcessOperation(index, false, false, false);
+  }
+
+  void RejectOperation(std::size_t index) {
+    if (const auto operation = TakeOperation(index)) {
+      operation->kind == ClaimOperation::Kind::kRead
+          ? ledgers_.at(index)->OnRead(now_, operation->id, {})
+          : ledgers_.at(index)->OnTransacted(now_, operation->id,
+                                             {TableStatus::kRefused, {}, {}});
     }
   }
 
-  void Answer(std::size_t who, bool takes_effect, bool answered, bool late) {
-    const auto step = NextStep(who);
-    if (!step.has_value()) {
+  void ProcessOperation(std::size_t index,
+                        bool takes_effect,
+                        bool answered,
+                        bool delayed) {
+    const auto operation = TakeOperation(index);
+    if (!operation.has_value()) {
       return;
     }
-    ClaimLedger& ledger = *ledgers_.at(who);
-    if (step->kind == ClaimOperation::Kind::kRead) {
-      ledger.OnRead(now_, step->id,
-                    takes_effect ? table_.Read(step->reads) : ReadResult{});
+    ClaimLedger& ledger = *ledgers_.at(index);
+    if (operation->kind == ClaimOperation::Kind::kRead) {
+      ledger.OnRead(
+          now_, operation->id,
+          takes_effect ? table_.Read(operation->reads) : ReadResult{});
       return;
     }
     TransactResult result;
     if (takes_effect) {
-      result = table_.Transact(step->transaction);
+      result = table_.Transact(operation->transaction);
     }
-    if (late) {
-      late_.push_back(step->transaction);
+    if (delayed) {
+      delayed_writes_.push_back(operation->transaction);
     }
-    ledger.OnTransacted(now_, step->id, answered ? result : TransactResult{});
+    ledger.OnTransacted(now_, operation->id,
+                        answered ? result : TransactResult{});
   }
 
-  void ApplyLate(std::size_t /*who*/) {
-    if (!late_.empty()) {
-      table_.Transact(late_.front());
-      late_.pop_front();
+  void ApplyDelayedWrite(std::size_t /*index*/) {
+    if (!delayed_writes_.empty()) {
+      table_.Transact(delayed_writes_.front());
+      delayed_writes_.pop_front();
     }
   }
 
-  void GiveBack(std::size_t who) {
-    if (!holder_.empty() && holder_ledger_ == who) {
-      ledgers_.at(who)->Settle(now_, holder_, ClaimState::kNotRun, 0, {});
+  void ReleaseClaim(std::size_t index) {
+    if (!holder_.empty() && holder_ledger_ == index) {
+      ledgers_.at(index)->Settle(now_, holder_, ClaimState::kNotRun, 0, {});
       holder_.clear();
     }
   }
 
-  void Run(std::size_t who) {
-    if (!holder_.empty() && holder_ledger_ == who) {
-      ledgers_.at(who)->LeaveClaimed(holder_);
+  void RunClaimed(std::size_t index) {
+    if (!holder_.empty() && holder_ledger_ == index) {
+      ledgers_.at(index)->LeaveClaimed(holder_);
       holder_.clear();
-      ran_ = true;
+      executed_ = true;
     }
   }
 
-  void Pause(std::size_t /*who*/) {
+  void AdvanceTime(std::size_t /*index*/) {
     now_ += milliseconds(250);
     for (const auto& ledger : ledgers_) {
       ledger->Advance(now_);
     }
   }
 
-  std::optional<ClaimOperation> NextStep(std::size_t who) {
-    std::deque<ClaimOperation>& steps = steps_.at(who);
-    if (steps.empty()) {
+  std::optional<ClaimOperation> TakeOperation(std::size_t index) {
+    std::deque<ClaimOperation>& operations = operations_.at(index);
+    if (operations.empty()) {
       return std::nullopt;
     }
-    ClaimOperation step = std::move(steps.front());
-    steps.pop_front();
-    return step;
+    ClaimOperation operation = std::move(operations.front());
+    operations.pop_front();
+    return operation;
   }
 
-  void Collect(std::size_t who) {
-    for (ClaimOperation& step : ledgers_.at(who)->TakeOperations()) {
-      steps_.at(who).push_back(std::move(step));
+  void CollectResults(std::size_t index) {
+    for (ClaimOperation& operation : ledgers_.at(index)->TakeOperations()) {
+      operations_.at(index).push_back(std::move(operation));
     }
-    for (const ClaimResult& verdict : ledgers_.at(who)->TakeResults()) {
-      if (verdict.outcome != ClaimOutcome::kConfirmed) {
+    for (const ClaimResult& result : ledgers_.at(index)->TakeResults()) {
+      if (result.outcome != ClaimOutcome::kConfirmed) {
         continue;
       }
       RC_ASSERT(holder_.empty());
-      RC_ASSERT(!ran_);
-      holder_ = verdict.token;
-      holder_ledger_ = who;
+      RC_ASSERT(!executed_);
+      holder_ = result.token;
+      holder_ledger_ = index;
     }
   }
 
   JsonClaimCodec codec_;
   FakeTable table_;
   TimePoint now_{};
-  std::array<std::unique_ptr<ClaimLedger>, kLedgers> ledgers_;
-  std::array<std::deque<ClaimOperation>, kLedgers> steps_;
-  std::deque<TableTransaction> late_;
+  std::array<std::unique_ptr<ClaimLedger>, kLedgerCount> ledgers_;
+  std::array<std::deque<ClaimOperation>, kLedgerCount> operations_;
+  std::deque<TableTransaction> delayed_writes_;
   std::string holder_;
   std::size_t holder_ledger_ = 0;
-  bool ran_ = false;
+  bool executed_ = false;
 };
 
 }  // namespace
 
 int main() {
-  const bool held = rc::check("a key never has two holders", [] {
+  const bool passed = rc::check("a key never has two holders", [] {
     const auto operations = *rc::gen::container<std::vector<std::uint8_t>>(
-        rc::gen::inRange<std::uint8_t>(0, kLedgers * kOperations));
+        rc::gen::inRange<std::uint8_t>(0, kLedgerCount * kOperationCount));
     ClaimHistory history;
     for (const std::uint8_t operation : operations) {
-      history.Apply(operation / kOperations, operation % kOperations);
+      history.Apply(operation / kOperationCount, operation % kOperationCount);
     }
   });
-  return held ? 0 : 1;
+  return passed ? 0 : 1;
 }
--- a/tests/random/config_store.cc
+++ b/tests/random/config_store.cc
@@ -43,11 +43,11 @@
     return;
   }
   const std::uint64_t outcome = fault_free ? 99 : simulator_.Below(100);
-  if (outcome < 3) {  // lost on the way there
+  if (outcome < 3) {  // the request is lost
     simulator_.After(kTimeout, [done] { done({}); });
     return;
   }
-  if (outcome < 12) {  // the answer is lost, and the write may be late
+  if (outcome < 12) {  // the answer is lost; the write may be delayed
     const Duration late = simulator_.Chance(50) ? simulator_.Between(1, 20)
                                                 : simulator_.Between(500, 8000);
     simulator_.After(late, [this, transaction] { Commit(transaction); });
@@ -171,7 +171,7 @@
   }
   documents_by_revision_.push_back(std::move(next));
   Require(codec_.Check(catalogue_).empty(),
-          "every revision holds together: no service without profile, no stage "
+          "every revision is consistent: no service without profile, no stage "
           "without pool",
           simulator_.now());
 }
--- a/tests/random/config_store.h
+++ b/tests/random/config_store.h
@@ -16,7 +16,8 @@
 
 namespace gentianroute::random_config {
 
-/// @brief Virtual time: a queue of events and one seeded generator.
+/// @brief Discrete-event simulator: virtual time, an event queue and one seeded
+/// random number generator.
 class EventSimulator {
  public:
   explicit EventSimulator(std::uint64_t seed) : rng_(seed) {}
@@ -52,13 +53,14 @@
 };
 
 /// @brief The platform's tables and objects with outages, lost answers and
-/// writes that take effect late. Keeps what is true to check daemons against.
+/// delayed writes. Keeps the documents of every revision, to check daemons
+/// against.
 class SimulatedStore {
  public:
   explicit SimulatedStore(EventSimulator& simulator) : simulator_(simulator) {}
 
-  bool unavailable = false;  ///< answers nobody
-  bool fault_free = false;   ///< loses and delays nothing
+  bool unavailable = false;  ///< no call is answered
+  bool fault_free = false;   ///< no answer is lost or delayed
 
   void Transact(const TableTransaction& transaction,
                 std::function<void(TransactResult)> done);
@@ -69,7 +71,9 @@
            const std::string& content,
            std::function<void(bool)> done);
 
+  /// @brief The latest revision.
   std::uint64_t head() const { return documents_by_revision_.size(); }
+  /// @brief All documents as of a revision.
   const Documents& DocumentsAt(std::uint64_t revision) const;
   bool IsApplied(const std::string& change_id) const {
     return change_ids_.contains(change_id);
@@ -95,7 +99,7 @@
   Catalogue catalogue_;
 };
 
-/// @brief Ends the run with exit code 1 when what must hold does not.
+/// @brief Ends the process with exit code 1 if an invariant does not hold.
 void Require(bool condition, const char* invariant, TimePoint now);
 
 }  // namespace gentianroute::random_config
--- a/tests/random/event_queue.h
+++ b/tests/random/event_queue.h
@@ -18,10 +18,10 @@
   using Task = std::function<void()>;
 
   TimePoint now() const { return now_; }
-  std::uint64_t ran() const { return ran_; }
+  std::uint64_t executed() const { return executed_; }
 
   void At(TimePoint due, Task task) {
-    events_.push({std::max(due, now_), next_++, std::move(task)});
+    events_.push({std::max(due, now_), next_sequence_++, std::move(task)});
   }
   void After(Duration delay, Task task) { At(now_ + delay, std::move(task)); }
 
@@ -33,7 +33,7 @@
     const Event event = events_.top();
     events_.pop();
     now_ = event.due;
-    ++ran_;
+    ++executed_;
     event.task();
     return true;
   }
@@ -41,33 +41,34 @@
  private:
   struct Event {
     TimePoint due;
-    std::uint64_t order;
+    std::uint64_t sequence;
     Task task;
     bool operator<(const Event& other) const {
-      return std::pair(due, order) > std::pair(other.due, other.order);
+      return std::pair(due, sequence) > std::pair(other.due, other.sequence);
     }
   };
 
   TimePoint now_{};
-  std::uint64_t next_ = 0;
-  std::uint64_t ran_ = 0;
+  std::uint64_t next_sequence_ = 0;
+  std::uint64_t executed_ = 0;
   std::priority_queue<Event> events_;
 };
 
 /// @brief All chance of one run, from its seed alone.
-class Dice {
+class RandomSource {
  public:
-  explicit Dice(std::uint64_t seed) : rng_(seed) {}
+  explicit RandomSource(std::uint64_t seed) : rng_(seed) {}
 
   std::uint64_t Below(std::uint64_t limit) { return rng_() % limit; }
-  bool Chance(double share) {
-    constexpr std::uint64_t kSteps = 1'000'000;
-    return static_cast<double>(Below(kSteps)) < share * kSteps;
+  bool Chance(double probability) {
+    constexpr std::uint64_t kResolution = 1'000'000;
+    return static_cast<double>(Below(kResolution)) < probability * kResolution;
   }
   /// @param least,most milliseconds
-  Duration Between(std::uint64_t least, std::uint64_t most) {
-    constexpr std::uint64_t kMicros = 1000;
-    return Duration(least * kMicros + Below((most - least) * kMicros + 1));
+  Duration Between(std::uint64_t min_ms, std::uint64_t max_ms) {
+    constexpr std::uint64_t kMicrosPerMillisecond = 1000;
+    return Duration(min_ms * kMicrosPerMillisecond +
+                    Below((max_ms - min_ms) * kMicrosPerMillisecond + 1));
   }
 
  private:
--- a/tests/random/fake_backends.cc
+++ b/tests/random/fake_backends.cc
@@ -5,25 +5,25 @@
 namespace gentianroute::testing {
 namespace {
 
-constexpr double kFault = 0.01;  ///< share of each kind of fault
+constexpr double kRejectProbability = 0.01;  ///< share of each kind of fault
 constexpr int kOk = 200;
 constexpr int kUnavailable = 503;
 constexpr int kRejected = 422;
 
 }  // namespace
 
-std::string TokenOf(const std::string& marker, std::uint64_t offset) {
+std::string ExpectedToken(const std::string& marker, std::uint64_t offset) {
   return marker + "." + std::to_string(offset) + " ";
 }
 
 FakeBackends::FakeBackends(EventQueue& events,
-                           Dice& dice,
+                           RandomSource& random,
                            BackendObserver& observer)
-    : events_(events), dice_(dice), observer_(observer) {
-  constexpr int kPerPool = 4;
+    : events_(events), random_(random), observer_(observer) {
+  constexpr int kServersPerPool = 4;
   constexpr std::uint32_t kSlots = 12;
   for (const std::string pool : {"encode", "generate", "order"}) {
-    for (int i = 1; i <= kPerPool; ++i) {
+    for (int i = 1; i <= kServersPerPool; ++i) {
       const std::string name = pool + "-" + std::to_string(i);
       servers_[name].host = HostOf(name, pool, kSlots);
     }
@@ -39,34 +39,34 @@
   return hosts;
 }
 
-bool FakeBackends::Connects(const std::string& server) const {
+bool FakeBackends::IsUp(const std::string& server) const {
   return servers_.at(server).up;
 }
 
 void FakeBackends::Send(const BackendCall& call) {
-  events_.After(dice_.Between(1, 25), [this, call] { Arrive(call); });
+  events_.After(random_.Between(1, 25), [this, call] { OnArrival(call); });
 }
 
 void FakeBackends::Cancel(DaemonId from, AttemptId attempt) {
-  events_.After(dice_.Between(1, 25), [this, from, attempt] {
+  events_.After(random_.Between(1, 25), [this, from, attempt] {
     cancelled_.insert({from, attempt});
   });
 }
 
-void FakeBackends::Arrive(const BackendCall& call) {
+void FakeBackends::OnArrival(const BackendCall& call) {
   FakeServer& server = servers_.at(call.server);
   if (!server.up) {
-    Fail(call, AttemptFailure::kReset);
+    SendFailure(call, AttemptFailure::kReset);
     return;
   }
-  if (dice_.Chance(kFault)) {
-    Answer(call, kUnavailable, true);
+  if (random_.Chance(kRejectProbability)) {
+    SendAnswer(call, kUnavailable, true);
     return;
   }
   observer_.OnRun(call);
   server.in_flight[{call.from, call.attempt}] = call;
   if (call.marker.starts_with("poison-" + call.stage)) {
-    events_.After(dice_.Between(1, 20), [this, call] {
+    events_.After(random_.Between(1, 20), [this, call] {
       if (IsRunning(call)) {
         observer_.OnPoisonCrash(call);
         Crash(servers_.at(call.server));
@@ -75,26 +75,26 @@
     return;
   }
   if (call.stage == "generate") {
-    const bool early = call.resume_offset > 0 && dice_.Chance(0.3);
-    Stream(call, call.resume_offset - (early ? 1 : 0));
+    const bool repeats_token = call.resume_offset > 0 && random_.Chance(0.3);
+    SendToken(call, call.resume_offset - (repeats_token ? 1 : 0));
     return;
   }
-  events_.After(dice_.Between(2, 30), [this, call] { Complete(call); });
+  events_.After(random_.Between(2, 30), [this, call] { CompleteCall(call); });
 }
 
 bool FakeBackends::IsRunning(const BackendCall& call) const {
   return servers_.at(call.server).in_flight.contains({call.from, call.attempt});
 }
 
-bool FakeBackends::Take(const BackendCall& call) {
+bool FakeBackends::RemoveCall(const BackendCall& call) {
   const CallKey key{call.from, call.attempt};
   const bool running = servers_.at(call.server).in_flight.erase(key) > 0;
   return running && !cancelled_.contains(key);
 }
 
-void FakeBackends::CrashOne() {
+void FakeBackends::CrashRandomServer() {
   auto server = servers_.begin();
-  std::advance(server, dice_.Below(servers_.size()));
+  std::advance(server, random_.Below(servers_.size()));
   if (server->second.up) {
     Crash(server->second);
   }
@@ -103,22 +103,25 @@
 void FakeBackends::Crash(FakeServer& server) {
   server.up = false;
   for (const auto& [key, call] : std::exchange(server.in_flight, {})) {
-    Fail(call, AttemptFailure::kReset);
+    SendFailure(call, AttemptFailure::kReset);
   }
-  events_.After(dice_.Between(200, 3000), [&server] {
+  events_.After(random_.Between(200, 3000), [&server] {
     server.up = true;
     ++server.host.incarnation;
   });
 }
 
-void FakeBackends::Fail(const BackendCall& call, AttemptFailure failure) {
+void FakeBackends::SendFailure(const BackendCall& call,
+                               AttemptFailure failure) {
   observer_.Deliver(call.from, [attempt = call.attempt, failure](
                                    Coordinator& coordinator, TimePoint now) {
     coordinator.OnFailure(now, attempt, failure, "fake");
   });
 }
 
-void FakeBackends::Answer(const BackendCall& call, int status, bool not_run) {
+void FakeBackends::SendAnswer(const BackendCall& call,
+                              int status,
+                              bool not_run) {
   AttemptAnswer answer;
   answer.attempt = call.attempt;
   answer.echoed = call.attempt;
@@ -131,7 +134,7 @@
                     });
 }
 
-void FakeBackends::AnswerCrossed(const BackendCall& call) {
+void FakeBackends::SendCrossedAnswer(const BackendCall& call) {
   AttemptAnswer answer;
   answer.attempt = call.attempt;
   answer.echoed = {call.attempt.value + 1};
@@ -143,62 +146,63 @@
                     });
 }
 
-void FakeBackends::Complete(const BackendCall& call) {
-  if (!Take(call)) {
+void FakeBackends::CompleteCall(const BackendCall& call) {
+  if (!RemoveCall(call)) {
     return;
   }
-  const std::uint64_t fault = dice_.Below(100);
+  const std::uint64_t fault = random_.Below(100);
   switch (fault) {
     case 0:  // lost
       return;
     case 1:
-      events_.After(dice_.Between(800, 8000),
-                    [this, call] { Answer(call, kOk, false); });
+      events_.After(random_.Between(800, 8000),
+                    [this, call] { SendAnswer(call, kOk, false); });
       return;
     case 2:
-      Answer(call, kOk, false);
-      Answer(call, kOk, false);
+      SendAnswer(call, kOk, false);
+      SendAnswer(call, kOk, false);
       return;
     case 3:
-      AnswerCrossed(call);
+      SendCrossedAnswer(call);
       return;
     case 4:
-      Fail(call, AttemptFailure::kTruncated);
+      SendFailure(call, AttemptFailure::kTruncated);
       return;
     case 5:
-      Answer(call, kUnavailable, false);
+      SendAnswer(call, kUnavailable, false);
       return;
     case 6:
-      Fail(call, AttemptFailure::kReset);  // no crash: only the connection
+      SendFailure(call,
+                  AttemptFailure::kReset);  // no crash: only the connection
       return;
     case 7:
-      Answer(call, kRejected, false);
+      SendAnswer(call, kRejected, false);
       return;
     default:
-      Answer(call, kOk, false);
+      SendAnswer(call, kOk, false);
   }
 }
 
-void FakeBackends::Stream(const BackendCall& call, std::uint64_t offset) {
+void FakeBackends::SendToken(const BackendCall& call, std::uint64_t offset) {
   const CallKey key{call.from, call.attempt};
   if (!IsRunning(call) || cancelled_.contains(key)) {
-    Take(call);
+    RemoveCall(call);
     return;
   }
-  if (offset >= kTokens) {
-    Complete(call);
+  if (offset >= kTokensPerStream) {
+    CompleteCall(call);
     return;
   }
-  const std::uint64_t fault = dice_.Below(200);
-  if (fault == 0 && Take(call)) {
-    Fail(call, dice_.Chance(0.5) ? AttemptFailure::kTruncated
-                                 : AttemptFailure::kReset);
+  const std::uint64_t fault = random_.Below(200);
+  if (fault == 0 && RemoveCall(call)) {
+    SendFailure(call, random_.Chance(0.5) ? AttemptFailure::kTruncated
+                                          : AttemptFailure::kReset);
     return;
   }
-  const bool skips = fault == 1 && offset + 1 < kTokens;
-  const std::uint64_t sent = offset + (skips ? 1 : 0);
+  const bool skips_token = fault == 1 && offset + 1 < kTokensPerStream;
+  const std::uint64_t sent = offset + (skips_token ? 1 : 0);
   AttemptChunk chunk{call.attempt, call.attempt, sent,
-                     TokenOf(call.marker, sent)};
+                     ExpectedToken(call.marker, sent)};
   if (fault == 2) {
     chunk.echoed = {call.attempt.value + 1};
     chunk.text = "crossed";
@@ -208,8 +212,8 @@
                       coordinator.OnChunk(now, chunk);
                     });
   const std::uint64_t next = fault == 3 ? offset : offset + 1;  // 3: repeats
-  events_.After(dice_.Between(1, 20),
-                [this, call, next] { Stream(call, next); });
+  events_.After(random_.Between(1, 20),
+                [this, call, next] { SendToken(call, next); });
 }
 
 }  // namespace gentianroute::testing
--- a/tests/random/fake_backends.h
+++ b/tests/random/fake_backends.h
@@ -44,23 +44,25 @@
 };
 
 /// @brief The text that every engine generates for a marker, by token.
-std::string TokenOf(const std::string& marker, std::uint64_t offset);
-inline constexpr std::uint64_t kTokens = 6;
+std::string ExpectedToken(const std::string& marker, std::uint64_t offset);
+inline constexpr std::uint64_t kTokensPerStream = 6;
 
 /// @brief Backend servers that crash, refuse, and whose answers come late,
 /// twice, crossed, cut short or not at all.
 class FakeBackends {
  public:
-  FakeBackends(EventQueue& events, Dice& dice, BackendObserver& observer);
+  FakeBackends(EventQueue& events,
+               RandomSource& random,
+               BackendObserver& observer);
 
   /// @brief The call's bytes are on their way.
   void Send(const BackendCall& call);
   /// @return false: no connection
-  bool Connects(const std::string& server) const;
+  bool IsUp(const std::string& server) const;
   void Cancel(DaemonId from, AttemptId attempt);
   std::vector<HostRecord> Hosts() const;
   /// @brief A server dies of a fault of its own.
-  void CrashOne();
+  void CrashRandomServer();
 
  private:
   using CallKey = std::pair<DaemonId, AttemptId>;
@@ -70,18 +72,18 @@
     std::map<CallKey, BackendCall> in_flight;
   };
 
-  void Arrive(const BackendCall& call);
+  void OnArrival(const BackendCall& call);
   void Crash(FakeServer& server);
-  void Complete(const BackendCall& call);
-  void Stream(const BackendCall& call, std::uint64_t offset);
-  bool Take(const BackendCall& call);
+  void CompleteCall(const BackendCall& call);
+  void SendToken(const BackendCall& call, std::uint64_t offset);
+  bool RemoveCall(const BackendCall& call);
   bool IsRunning(const BackendCall& call) const;
-  void Answer(const BackendCall& call, int status, bool not_run);
-  void AnswerCrossed(const BackendCall& call);
-  void Fail(const BackendCall& call, AttemptFailure failure);
+  void SendAnswer(const BackendCall& call, int status, bool not_run);
+  void SendCrossedAnswer(const BackendCall& call);
+  void SendFailure(const BackendCall& call, AttemptFailure failure);
 
   EventQueue& events_;
-  Dice& dice_;
+  RandomSource& random_;
   BackendObserver& observer_;
   std::map<std::string, FakeServer> servers_;
   std::set<CallKey> cancelled_;
--- a/tests/random/fake_store.cc
+++ b/tests/random/fake_store.cc
@@ -5,32 +5,32 @@
 namespace gentianroute::testing {
 namespace {
 
-constexpr double kLost = 0.03;
+constexpr double kLossProbability = 0.03;
 constexpr Duration kCallTimeout = milliseconds(500);
 
 }  // namespace
 
 void FakeStore::Transact(TableTransaction transaction,
                          std::function<void(TransactResult)> done) {
-  const bool lost = Down() || dice_.Chance(kLost);
+  const bool lost = IsDown() || random_.Chance(kLossProbability);
   if (!lost) {
     events_.After(
-        dice_.Between(1, 8),
+        random_.Between(1, 8),
         [this, transaction = std::move(transaction), done = std::move(done)] {
           TransactResult result = table_.Transact(transaction);
-          events_.After(dice_.Between(1, 8),
+          events_.After(random_.Between(1, 8),
                         [done, result = std::move(result)] { done(result); });
         });
     return;
   }
-  if (dice_.Chance(0.2)) {
-    events_.After(dice_.Between(1, 5), [done] {
+  if (random_.Chance(0.2)) {
+    events_.After(random_.Between(1, 5), [done] {
       done({TableStatus::kRefused, {}, {}});
     });
     return;
   }
-  if (dice_.Chance(0.6)) {
-    events_.After(dice_.Between(1, 8000),
+  if (random_.Chance(0.6)) {
+    events_.After(random_.Between(1, 8000),
                   [this, transaction = std::move(transaction)] {
                     table_.Transact(transaction);
                   });
@@ -42,14 +42,14 @@
 
 void FakeStore::Read(std::vector<TableKey> keys,
                      std::function<void(ReadResult)> done) {
-  if (Down() || dice_.Chance(kLost)) {
+  if (IsDown() || random_.Chance(kLossProbability)) {
     events_.After(kCallTimeout, [done] { done({}); });
     return;
   }
-  events_.After(dice_.Between(1, 8), [this, keys = std::move(keys),
-                                      done = std::move(done)] {
+  events_.After(random_.Between(1, 8), [this, keys = std::move(keys),
+                                        done = std::move(done)] {
     ReadResult result = table_.Read(keys);
-    events_.After(dice_.Between(1, 8),
+    events_.After(random_.Between(1, 8),
                   [done, result = std::move(result)] { done(result); });
   });
 }
--- a/tests/random/fake_store.h
+++ b/tests/random/fake_store.h
@@ -13,7 +13,8 @@
 /// take effect at once, never, or seconds after its answer was lost.
 class FakeStore {
  public:
-  FakeStore(EventQueue& events, Dice& dice) : events_(events), dice_(dice) {}
+  FakeStore(EventQueue& events, RandomSource& random)
+      : events_(events), random_(random) {}
 
   void Transact(TableTransaction transaction,
                 std::function<void(TransactResult)> done);
@@ -21,10 +22,10 @@
   void FailFor(Duration duration) { down_until_ = events_.now() + duration; }
 
  private:
-  bool Down() const { return events_.now() < down_until_; }
+  bool IsDown() const { return events_.now() < down_until_; }
 
   EventQueue& events_;
-  Dice& dice_;
+  RandomSource& random_;
   FakeTable table_;
   TimePoint down_until_{};
 };
--- a/tests/random/order_simulation.cc
+++ b/tests/random/order_simulation.cc
@@ -18,12 +18,13 @@
 constexpr std::size_t kIssuers = 4;
 constexpr std::size_t kEngines = 4;
 constexpr Duration kTickInterval = milliseconds(250);
-/// Lapse of a lease, its takeover, and a round of reads, orders and reads.
+/// Covers the expiry of a lease, its takeover, and a round of reads, orders and
+/// reads.
 constexpr Duration kRecoveryTime = seconds(40);
 
 struct FakeEngine {
   EngineState state;
-  std::uint64_t fencing = 0;  ///< highest that took effect
+  std::uint64_t fencing = 0;  ///< highest number of an order that took effect
 };
 
 class OrderSimulation;
@@ -86,7 +87,7 @@
                                   bool fenced) {
   LeaseKeeper::Options options;
   if (fenced) {
-    options.max_order_delay = {};  // the engines refuse what is late
+    options.max_order_delay = {};  // the engines reject late orders
   }
   options.pool = "p";
   options.holder = std::to_string(index) + "/" + std::to_string(generation);
@@ -142,7 +143,7 @@
     ReadState(index, engine);
   }
   for (const EngineOrder& order : steps.orders) {
-    // The daemon may be paused between the decision and the write.
+    // A daemon can pause between the decision and the write.
     if (faults_enabled_ && simulator_.Chance(10)) {
       hosts_[index].frozen_until = now + simulator_.Between(1000, 30000);
     }
@@ -196,7 +197,7 @@
   const std::uint64_t generation = hosts_[index].generation;
   ++counts_.orders;
   if (faults_enabled_ && simulator_.Chance(10)) {
-    return;  // lost on the way
+    return;  // the order is lost
   }
   const int max_delay_ms = fenced_ && faults_enabled_ ? 10000 : 1990;
   const Duration delay = simulator_.Chance(20)
@@ -266,8 +267,8 @@
   }
 }
 
-/// An engine drops what it ran, as after a crash of its worker; it remembers
-/// the highest number that it took.
+/// Resets the state of an engine, as after a crash of its worker. The engine
+/// remembers the highest fencing number.
 void OrderSimulation::ResetEngineState() {
   simulator_.After(simulator_.Between(100, 1000),
                    [this] { ResetEngineState(); });
--- a/tests/random/order_simulation.h
+++ b/tests/random/order_simulation.h
@@ -5,15 +5,16 @@
 
 namespace gentianroute::random_config {
 
+/// @brief Counts of one run.
 struct OrderCounts {
   std::uint64_t events = 0;
   std::uint64_t orders = 0;
-  std::uint64_t refused = 0;  ///< by engines that check the number
-  std::uint64_t terms = 0;    ///< holders, one after another
+  std::uint64_t refused = 0;  ///< by engines that check the fencing number
+  std::uint64_t terms = 0;    ///< lease terms, one per holder
 };
 
-/// @brief Issuers of orders over leases, against engines that check the fencing
-/// number and engines that ignore it.
+/// @brief Simulates issuers of engine orders that compete for a lease, with
+/// engines that check the fencing number and with engines that ignore it.
 OrderCounts RunOrderSimulation(std::uint64_t seed, std::uint64_t events);
 
 }  // namespace gentianroute::random_config
--- a/tests/random/random_config.cc
+++ b/tests/random/random_config.cc
@@ -1,8 +1,9 @@
-// A seeded random run of the configuration's decisions in virtual time: real
+// Seeded random simulation of configuration changes in virtual time: the real
 // followers, appliers, snapshot writers and poll schedules of nine daemons in
-// three data centres, over a store with outages, lost answers and late writes.
-// Daemons are cut off, frozen and killed; operators race. What must hold is
-// checked in the store and after every step of a daemon.
+// three data centres, with a store that has outages, lost answers and delayed
+// writes. Daemons are isolated, frozen and killed; operators make concurrent
+// changes. The invariants are checked in the store and after every change of a
+// daemon.
 
 #include <CLI/CLI.hpp>
 #include <algorithm>
@@ -26,12 +27,13 @@
 constexpr std::size_t kOperators = 6;
 constexpr std::size_t kDocumentNames = 5;
 constexpr ConfigRetention kRetention{16, 256, 4};
-/// From healing to everybody at the head: a few silent periods and a poll.
+/// Time from the end of the faults until every daemon has the latest revision:
+/// a few silence timeouts and a poll.
 constexpr Duration kConvergenceTime = seconds(20);
 
 class ConfigSimulation;
 
-/// One process: what it knows is lost when it is killed.
+/// One daemon process; its state is lost when it is killed.
 class SimulatedDaemon final : public TableService, public ObjectStore {
  public:
   SimulatedDaemon(ConfigSimulation& simulation, std::size_t index);
@@ -65,10 +67,10 @@
   std::uint64_t last_revision_ = 0;
 };
 
-/// An operator's change, until the operator knows what became of it.
+/// An operator's change, retried until its outcome is known.
 struct OperatorChange {
   ConfigRevision change;
-  std::uint32_t pending_attempts = 0;  ///< attempts whose answer is not in
+  std::uint32_t pending_attempts = 0;  ///< attempts without an answer so far
   std::uint32_t attempts = 0;
   bool settled = false;
 };
@@ -79,8 +81,8 @@
       : simulator(seed), store(simulator) {}
   void Run(std::uint64_t events);
 
-  /// Runs an event at a process unless it has been killed since; a frozen
-  /// process gets it when it thaws.
+  /// Runs an event at a daemon unless the daemon was killed in the meantime. A
+  /// frozen daemon gets the event when it resumes.
   void RunAt(std::size_t index,
              std::uint64_t generation,
              const std::function<void(SimulatedDaemon&)>& event);
@@ -228,7 +230,7 @@
     schedule.OnPeerReadAge(simulation_.simulator.now(), age);
   }
   follower.OnRevisionSeen(revision);
-  if (revision < follower.revision()) {  // the other half of an exchange
+  if (revision < follower.revision()) {  // tell the peer the newer revision
     simulation_.Send(
         index_, peer,
         [this_index = index_, own = follower.revision()](SimulatedDaemon& to) {
@@ -263,11 +265,12 @@
 
 void SimulatedDaemon::Check() {
   const std::uint64_t revision = follower.revision();
-  Require(revision >= last_revision_, "a daemon's revision only grows",
+  Require(revision >= last_revision_, "a daemon's revision never decreases",
           simulation_.simulator.now());
   last_revision_ = revision;
   Require(revision <= simulation_.store.head(),
-          "no daemon runs ahead of the log", simulation_.simulator.now());
+          "no daemon has a revision beyond the log",
+          simulation_.simulator.now());
   const Documents& expected = simulation_.store.DocumentsAt(revision);
   const Documents& actual = follower.documents();
   const bool equal = std::ranges::equal(
@@ -276,7 +279,7 @@
                left.second.body == right.second.body &&
                left.second.revision == right.second.revision;
       });
-  Require(equal, "a daemon holds what the log says at its revision",
+  Require(equal, "a daemon's documents equal the log's at its revision",
           simulation_.simulator.now());
 }
 
@@ -306,7 +309,7 @@
   if (partitioned || from == to || (faults_enabled_ && simulator.Chance(2))) {
     return;
   }
-  // A message that arrives late comes from a peer that is stale by then.
+  // A delayed message carries outdated state.
   const Duration delay = faults_enabled_ && simulator.Chance(3)
                              ? simulator.Between(500, 5000)
                              : simulator.Between(1, 25);
@@ -432,7 +435,7 @@
                               OnAttemptDone(operator_change, apply);
                             });
         });
-  // The daemon may die or freeze: the operator asks another one.
+  // Retries at another daemon, in case this one is killed or frozen.
   simulator.After(simulator.Between(8000, 60000),
                   [this, operator_change] { AttemptChange(operator_change); });
 }
@@ -444,14 +447,14 @@
   const bool in_log = store.IsApplied(operator_change->change.change_id);
   switch (apply.state()) {
     case ConfigApply::State::kApplied:
-      Require(in_log, "a change that is said to be applied is in the log",
+      Require(in_log, "a change that is reported as applied is in the log",
               simulator.now());
       applied += operator_change->settled ? 0 : 1;
       operator_change->settled = true;
       return;
     case ConfigApply::State::kConflict:
     case ConfigApply::State::kInvalid:
-      Require(!in_log, "a change that is refused is not in the log",
+      Require(!in_log, "a change that is rejected is not in the log",
               simulator.now());
       ++(apply.state() == ConfigApply::State::kConflict ? conflicts : invalid);
       operator_change->settled = true;
@@ -482,7 +485,7 @@
       host.daemon->Check();
       Require(host.daemon->follower.revision() == store.head() &&
                   host.daemon->follower.known(),
-              "every daemon reaches the head soon after faults end",
+              "every daemon reaches the latest revision soon after faults end",
               simulator.now());
     }
   }
@@ -495,10 +498,10 @@
   std::uint64_t seed = 1;
   std::uint64_t seeds = 1;
   std::uint64_t events = 100'000;
-  CLI::App app{"Random run of the configuration's decisions"};
+  CLI::App app{"Random simulation of configuration changes"};
   app.add_option("--seed", seed, "first seed");
   app.add_option("--seeds", seeds, "number of seeds");
-  app.add_option("--events", events, "events for each seed");
+  app.add_option("--events", events, "events per seed");
   CLI11_PARSE(app, argc, argv);
   for (std::uint64_t i = 0; i < seeds; ++i) {
     std::printf("seed=%s ", std::to_string(seed + i).c_str());
--- a/tests/random/random_requests.cc
+++ b/tests/random/random_requests.cc
@@ -3,11 +3,12 @@
 #include <CLI/CLI.hpp>
 #include <cstdio>
 
-#include "world.h"
+#include "request_simulation.h"
 
 namespace {
 
-void Print(std::uint64_t seed, const gentianroute::testing::WorldReport& r) {
+void Print(std::uint64_t seed,
+           const gentianroute::testing::SimulationReport& r) {
   const auto print = [](const char* name, std::uint64_t value) {
     std::printf(" %s=%llu", name, static_cast<unsigned long long>(value));
   };
@@ -47,7 +48,7 @@
   for (std::uint64_t next = seed; next < seed + seeds; ++next) {
     std::printf("begin seed=%llu\n", static_cast<unsigned long long>(next));
     std::fflush(stdout);
-    Print(next, gentianroute::testing::World(next, events).Run());
+    Print(next, gentianroute::testing::RequestSimulation(next, events).Run());
   }
   return 0;
 }
--- a/tests/random/world.h
+++ b/tests/random/request_simulation.h
@@ -1,5 +1,5 @@
-#ifndef GENTIANROUTE_TESTS_RANDOM_WORLD_H_
-#define GENTIANROUTE_TESTS_RANDOM_WORLD_H_
+#ifndef GENTIANROUTE_TESTS_RANDOM_REQUEST_SIMULATION_H_
+#define GENTIANROUTE_TESTS_RANDOM_REQUEST_SIMULATION_H_
 
 #include <cstdint>
 #include <map>
@@ -15,7 +15,7 @@
 
 /// @brief What one run has seen; printed, so that a run that tested nothing
 /// shows.
-struct WorldReport {
+struct SimulationReport {
   std::uint64_t events = 0;
   std::uint64_t submitted = 0;
   std::uint64_t answered = 0;
@@ -38,12 +38,12 @@
 /// @brief Several daemons' decisions over one store and one set of backend
 /// servers, under every fault at once. Ends the process when an invariant
 /// breaks.
-class World : private BackendObserver {
+class RequestSimulation : private BackendObserver {
  public:
-  World(std::uint64_t seed, std::uint64_t events);
+  RequestSimulation(std::uint64_t seed, std::uint64_t events);
 
   /// @brief Runs until the events are used up and everything has ended.
-  WorldReport Run();
+  SimulationReport Run();
 
  private:
   struct Daemon {
@@ -54,7 +54,7 @@
     std::map<JoinId, std::function<void(JoinOutcome)>> joins;
   };
   /// One request as its caller sent it.
-  struct Arrival {
+  struct SimulatedRequest {
     std::string marker;
     std::string key;
     std::string service;
@@ -73,59 +73,64 @@
       return service == "orders" || service == "topups";
     }
   };
-  using ArrivalKey = std::pair<DaemonId, RequestId>;
+  using RequestKey = std::pair<DaemonId, RequestId>;
 
   void OnRun(const BackendCall& call) override;
   void OnPoisonCrash(const BackendCall& call) override;
   void Deliver(DaemonId to, Event event) override;
 
   void Receive(DaemonId to, const Event& event);
-  void Pump(Daemon& daemon);
-  bool StepStore(Daemon& daemon);
-  void PlanWake(Daemon& daemon);
-  void Kill(Daemon& daemon);
+  void ProcessActions(Daemon& daemon);
+  bool ProcessStoreOperations(Daemon& daemon);
+  void ScheduleWake(Daemon& daemon);
+  void RestartDaemon(Daemon& daemon);
   void StartCore(Daemon& daemon);
 
-  void Do(Daemon& daemon, const StartAttempt& start);
-  void Do(Daemon& daemon, const CancelAttempt& cancel);
-  void Do(Daemon& daemon, const DeliverChunk& chunk);
-  void Do(Daemon& daemon, const FinishRequest& finish);
-  void Do(Daemon& daemon, const QueryClaimHolder& ask);
-  void Do(Daemon& daemon, const AnswerJoin& answer);
-  void Write(const BackendCall& call);
-  void CheckAnswer(const Arrival& arrival, const FinishRequest& finish);
-  void CheckError(Arrival& arrival, const FinishRequest& finish);
+  void Execute(Daemon& daemon, const StartAttempt& start);
+  void Execute(Daemon& daemon, const CancelAttempt& cancel);
+  void Execute(Daemon& daemon, const DeliverChunk& chunk);
+  void Execute(Daemon& daemon, const FinishRequest& finish);
+  void Execute(Daemon& daemon, const QueryClaimHolder& query);
+  void Execute(Daemon& daemon, const AnswerJoin& answer);
+  void SendCall(const BackendCall& call);
+  void CheckAnswer(const SimulatedRequest& request,
+                   const FinishRequest& finish);
+  void CheckError(SimulatedRequest& request, const FinishRequest& finish);
 
-  void PlanSubmission();
-  void Submit(Arrival arrival);
-  void Resend(const Arrival& arrival);
-  Arrival NewArrival();
-  void Every(Duration least, Duration most, std::function<void()> task);
-  void PlanFaults();
-  void SpreadHosts();
-  void SpreadQuarantine();
-  bool Closing() const { return events_.ran() >= limit_; }
-  Daemon& AnyDaemon() { return daemons_[dice_.Below(daemons_.size())]; }
-  void Expect(bool holds, const char* what, const Arrival& arrival) const;
+  void ScheduleSubmission();
+  void Submit(SimulatedRequest request);
+  void Resend(const SimulatedRequest& request);
+  SimulatedRequest MakeRequest();
+  void ScheduleRepeating(Duration min_interval,
+                         Duration max_interval,
+                         std::function<void()> task);
+  void ScheduleFaults();
+  void SendHostLists();
+  void SendQuarantines();
+  bool IsClosing() const { return events_.executed() >= max_events_; }
+  Daemon& PickDaemon() { return daemons_[random_.Below(daemons_.size())]; }
+  void Expect(bool condition,
+              const char* invariant,
+              const SimulatedRequest& request) const;
 
   std::uint64_t seed_;
-  std::uint64_t limit_;
+  std::uint64_t max_events_;
   EventQueue events_;
-  Dice dice_;
+  RandomSource random_;
   FakeStore store_;
   FakeBackends backends_;
   CatalogueRef catalogue_;
   std::vector<Daemon> daemons_;
-  std::map<ArrivalKey, Arrival> arrivals_;
+  std::map<RequestKey, SimulatedRequest> requests_;
   std::map<std::string, std::uint64_t> effects_;  ///< by idempotency key
   std::map<std::string, std::uint64_t> poison_crashes_;
   std::map<std::pair<DaemonId, std::string>, std::uint64_t> crashes_by_daemon_;
   std::set<std::pair<DaemonId, AttemptId>> cancelled_;
   std::uint64_t next_marker_ = 0;
   TimePoint closed_at_ = kNever;
-  WorldReport report_;
+  SimulationReport report_;
 };
 
 }  // namespace gentianroute::testing
 
-#endif  // GENTIANROUTE_TESTS_RANDOM_WORLD_H_
+#endif  // GENTIANROUTE_TESTS_RANDOM_REQUEST_SIMULATION_H_
