--- a/tests/random/claim_histories.cc
+++ b/tests/random/claim_histories.cc
@@ -1,5 +1,5 @@
-// Generated histories of three claim ledgers over one store, shrunk to the
-// shortest that breaks: a key never has two holders who may call.
+// Property test: three claim ledgers over one store never hold the same
+// key. RapidCheck generates histories and shrinks a failing one.
 
 #include <rapidcheck.h>
 #include <array>
@@ -16,7 +16,7 @@
 constexpr std::size_t kLedgerCount = 3;
 constexpr std::uint8_t kOperationCount = 10;
 
-/// @brief Three daemons that want one key.
+/// @brief Three ledgers that compete for one key.
 class ClaimHistory {
  public:
   ClaimHistory() {
--- a/tests/random/event_queue.h
+++ b/tests/random/event_queue.h
@@ -12,12 +12,14 @@
 
 namespace gentianroute::testing {
 
-/// @brief Tasks in virtual time; equal times in the order of their planning.
+/// @brief Event queue in virtual time; runs tasks with the same time in the
+/// order in which they were scheduled.
 class EventQueue {
  public:
   using Task = std::function<void()>;
 
   TimePoint now() const { return now_; }
+  /// @brief Number of tasks that have run.
   std::uint64_t executed() const { return executed_; }
 
   void At(TimePoint due, Task task) {
@@ -25,7 +27,8 @@
   }
   void After(Duration delay, Task task) { At(now_ + delay, std::move(task)); }
 
-  /// @return false if nothing is left
+  /// @brief Advances the time to the next task and runs it.
+  /// @return false if the queue is empty
   bool RunNext() {
     if (events_.empty()) {
       return false;
@@ -54,7 +57,8 @@
   std::priority_queue<Event> events_;
 };
 
-/// @brief All chance of one run, from its seed alone.
+/// @brief The only source of randomness of a run, so that its seed reproduces
+/// it.
 class RandomSource {
  public:
   explicit RandomSource(std::uint64_t seed) : rng_(seed) {}
@@ -64,7 +68,7 @@
     constexpr std::uint64_t kResolution = 1'000'000;
     return static_cast<double>(Below(kResolution)) < probability * kResolution;
   }
-  /// @param least,most milliseconds
+  /// @brief A random duration in milliseconds, both bounds included.
   Duration Between(std::uint64_t min_ms, std::uint64_t max_ms) {
     constexpr std::uint64_t kMicrosPerMillisecond = 1000;
     return Duration(min_ms * kMicrosPerMillisecond +
--- a/tests/random/fake_backends.cc
+++ b/tests/random/fake_backends.cc
@@ -5,7 +5,7 @@
 namespace gentianroute::testing {
 namespace {
 
-constexpr double kRejectProbability = 0.01;  ///< share of each kind of fault
+constexpr double kRejectProbability = 0.01;
 constexpr int kOk = 200;
 constexpr int kUnavailable = 503;
 constexpr int kRejected = 422;
@@ -152,7 +152,7 @@
   }
   const std::uint64_t fault = random_.Below(100);
   switch (fault) {
-    case 0:  // lost
+    case 0:  // the answer is lost
       return;
     case 1:
       events_.After(random_.Between(800, 8000),
@@ -173,7 +173,7 @@
       return;
     case 6:
       SendFailure(call,
-                  AttemptFailure::kReset);  // no crash: only the connection
+                  AttemptFailure::kReset);  // only the connection fails
       return;
     case 7:
       SendAnswer(call, kRejected, false);
@@ -211,7 +211,8 @@
                     [chunk](Coordinator& coordinator, TimePoint now) {
                       coordinator.OnChunk(now, chunk);
                     });
-  const std::uint64_t next = fault == 3 ? offset : offset + 1;  // 3: repeats
+  const std::uint64_t next =
+      fault == 3 ? offset : offset + 1;  // 3: repeats a token
   events_.After(random_.Between(1, 20),
                 [this, call, next] { SendToken(call, next); });
 }
--- a/tests/random/fake_backends.h
+++ b/tests/random/fake_backends.h
@@ -12,56 +12,56 @@
 
 namespace gentianroute::testing {
 
-/// @brief One incarnation of one daemon.
+/// @brief One daemon between two restarts.
 struct DaemonId {
   std::size_t index = 0;
   std::uint64_t incarnation = 0;
   friend auto operator<=>(const DaemonId&, const DaemonId&) = default;
 };
 
-/// @brief One stage call as the far end sees it.
+/// @brief One stage call as the backend server receives it.
 struct BackendCall {
   DaemonId from;
   RequestId request;
   AttemptId attempt;
   std::string server;
   std::string stage;
-  std::string marker;  ///< of the request that it was sent for
+  std::string marker;  ///< identifies the request
   std::uint64_t resume_offset = 0;
 };
 
-/// @brief What the backend servers report to.
+/// @brief Receives the events of the backend servers.
 class BackendObserver {
  public:
   using Event = std::function<void(Coordinator&, TimePoint)>;
   virtual ~BackendObserver() = default;
-  /// @brief The server has begun to work on the call.
+  /// @brief A server has begun to run the call.
   virtual void OnRun(const BackendCall& call) = 0;
-  /// @brief A poisonous request has crashed a server.
+  /// @brief A poison request has crashed a server.
   virtual void OnPoisonCrash(const BackendCall& call) = 0;
-  /// @brief Something comes back over the network.
+  /// @brief Delivers an event to a daemon over the network.
   virtual void Deliver(DaemonId to, Event event) = 0;
 };
 
-/// @brief The text that every engine generates for a marker, by token.
+/// @brief The token that every engine generates for a marker at an offset.
 std::string ExpectedToken(const std::string& marker, std::uint64_t offset);
 inline constexpr std::uint64_t kTokensPerStream = 6;
 
-/// @brief Backend servers that crash, refuse, and whose answers come late,
-/// twice, crossed, cut short or not at all.
+/// @brief Backend servers that crash and reject calls, and whose answers are
+/// late, duplicated, swapped, truncated or missing.
 class FakeBackends {
  public:
   FakeBackends(EventQueue& events,
                RandomSource& random,
                BackendObserver& observer);
 
-  /// @brief The call's bytes are on their way.
+  /// @brief Sends a call over the network.
   void Send(const BackendCall& call);
-  /// @return false: no connection
+  /// @return whether the server accepts connections
   bool IsUp(const std::string& server) const;
   void Cancel(DaemonId from, AttemptId attempt);
   std::vector<HostRecord> Hosts() const;
-  /// @brief A server dies of a fault of its own.
+  /// @brief Crashes a random server for a reason other than a request.
   void CrashRandomServer();
 
  private:
@@ -76,6 +76,8 @@
   void Crash(FakeServer& server);
   void CompleteCall(const BackendCall& call);
   void SendToken(const BackendCall& call, std::uint64_t offset);
+  /// Removes a call from its server.
+  /// @return false if it was not running or was cancelled
   bool RemoveCall(const BackendCall& call);
   bool IsRunning(const BackendCall& call) const;
   void SendAnswer(const BackendCall& call, int status, bool not_run);
--- a/tests/random/fake_store.h
+++ b/tests/random/fake_store.h
@@ -9,8 +9,8 @@
 
 namespace gentianroute::testing {
 
-/// @brief The table service behind a network that loses answers. A write may
-/// take effect at once, never, or seconds after its answer was lost.
+/// @brief Table service with outages and a network that loses messages. A write
+/// whose answer is lost takes effect never or seconds later.
 class FakeStore {
  public:
   FakeStore(EventQueue& events, RandomSource& random)
@@ -19,6 +19,7 @@
   void Transact(TableTransaction transaction,
                 std::function<void(TransactResult)> done);
   void Read(std::vector<TableKey> keys, std::function<void(ReadResult)> done);
+  /// @brief Loses every message for some time.
   void FailFor(Duration duration) { down_until_ = events_.now() + duration; }
 
  private:
--- a/tests/random/random_requests.cc
+++ b/tests/random/random_requests.cc
@@ -1,4 +1,5 @@
-// Seeded random histories over the real decision code: see world.h.
+// Runs seeded random request histories against the decision code; see
+// request_simulation.h.
 
 #include <CLI/CLI.hpp>
 #include <cstdio>
@@ -42,8 +43,9 @@
   std::uint64_t seeds = 1;
   std::uint64_t events = 30'000;
   app.add_option("--seed", seed, "first seed");
-  app.add_option("--seeds", seeds, "how many seeds, one after the other");
-  app.add_option("--events", events, "events per seed before it winds down");
+  app.add_option("--seeds", seeds, "number of seeds");
+  app.add_option("--events", events,
+                 "events per seed before the requests stop");
   CLI11_PARSE(app, argc, argv);
   for (std::uint64_t next = seed; next < seed + seeds; ++next) {
     std::printf("begin seed=%llu\n", static_cast<unsigned long long>(next));
--- a/tests/random/request_simulation.cc
+++ b/tests/random/request_simulation.cc
@@ -8,7 +8,8 @@
 
 constexpr std::size_t kDaemonCount = 4;
 constexpr Duration kNetworkDelay = milliseconds(3);
-/// Quarantine by the third crash, and one twin in flight beside the first.
+/// A request is quarantined by its third crash; one hedged call can be in
+/// flight beside the first one.
 constexpr std::uint64_t kMaxCrashesPerDaemon = 4;
 constexpr Duration kDrainTimeout = seconds(60);
 
@@ -54,7 +55,7 @@
 }
 
 void RequestSimulation::Expect(bool condition,
-                               const char* invariant,
+                               const char* violation,
                                const SimulatedRequest& request) const {
   if (condition) {
     return;
@@ -62,7 +63,7 @@
   std::fprintf(stderr,
                "broken: %s seed=%llu event=%llu service=%s marker=%s key=%s "
                "runs=%llu effects=%llu\n",
-               invariant, static_cast<unsigned long long>(seed_),
+               violation, static_cast<unsigned long long>(seed_),
                static_cast<unsigned long long>(events_.executed()),
                request.service.c_str(), request.marker.c_str(),
                request.key.c_str(),
@@ -102,9 +103,6 @@
   return report_;
 }
 
-// --- Daemons
-// ------------------------------------------------------------------
-
 void RequestSimulation::StartCore(Daemon& daemon) {
   Coordinator::Options options;
   options.seed = seed_ + daemon.id.index;
@@ -202,9 +200,6 @@
   });
 }
 
-// --- Actions
-// ------------------------------------------------------------------
-
 void RequestSimulation::Execute(Daemon& daemon, const StartAttempt& start) {
   const SimulatedRequest& request = requests_.at({daemon.id, start.request});
   const std::string head = R"({"request":")" + request.body_marker + "\"";
@@ -252,7 +247,7 @@
 void RequestSimulation::Execute(Daemon& daemon, const DeliverChunk& chunk) {
   SimulatedRequest& request = requests_.at({daemon.id, chunk.request});
   Expect(!request.finished, "a token after the end", request);
-  Expect(chunk.offset == request.stream_offset, "a token lost or doubled",
+  Expect(chunk.offset == request.stream_offset, "a token lost or duplicated",
          request);
   ++request.stream_offset;
   request.streamed += chunk.text;
@@ -279,13 +274,13 @@
   std::string expected;
   if (request.service == "letters") {
     expected = ExpectedText(request.body_marker);
-    Expect(request.streamed == expected, "a stream not whole", request);
+    Expect(request.streamed == expected, "a stream is incomplete", request);
   } else if (request.HasEffect()) {
     expected = "order:" + request.body_marker;
   } else {
     expected = "encode:" + request.body_marker;
   }
-  Expect(finish.body == "\"" + expected + "\"", "an answer not its own",
+  Expect(finish.body == "\"" + expected + "\"", "the answer of another request",
          request);
   Expect(
       !request.HasEffect() || request.key.empty() || effects_[request.key] == 1,
@@ -297,9 +292,9 @@
   const ExecutionState state = AnswerFor(*finish.error).work;
   request.failed_as = state;
   Expect(state != ExecutionState::kNotRun || request.runs == 0,
-         "a refusal says not run, and it ran", request);
+         "a request ran although its error says not run", request);
   Expect(state == ExecutionState::kUnknown || request.effects == 0,
-         "an effect took place and is not said to be unknown", request);
+         "an effect took place although the error excludes it", request);
   report_.innocent_quarantined +=
       finish.error == ErrorKind::kQuarantined && !request.IsPoison() ? 1 : 0;
   report_.not_run += state == ExecutionState::kNotRun ? 1 : 0;
@@ -316,8 +311,8 @@
               coordinator.OnClaimHolderAnswered(now, request, token, outcome);
             });
   };
-  // The asker gives up on a peer that is cut off or frozen; the peer's own
-  // answer may still come, after that one or doubled.
+  // The querying daemon times out if the peer is isolated or frozen. The peer's
+  // answer can still arrive later, or twice.
   events_.After(seconds(2), [answer] { answer({}); });
   const std::size_t index = query.claim.daemon.back() - '0';
   if (random_.Chance(0.05)) {
@@ -339,7 +334,7 @@
 }
 
 void RequestSimulation::Execute(Daemon& daemon, const AnswerJoin& answer) {
-  // Join() answers within the call that the map entry is made after.
+  // Deferred: Join() can answer before its caller has added the map entry.
   const DaemonId id = daemon.id;
   events_.After(Duration{0}, [this, id, answer] {
     Daemon& answering = daemons_[id.index];
@@ -355,15 +350,13 @@
   });
 }
 
-// --- What the servers saw
-// -----------------------------------------------------
-
 void RequestSimulation::OnRun(const BackendCall& call) {
   SimulatedRequest& request = requests_.at({call.from, call.request});
-  Expect(call.marker == request.body_marker, "a call crossed", request);
+  Expect(call.marker == request.body_marker, "a call of another request",
+         request);
   ++request.runs;
   Expect(request.failed_as != ExecutionState::kNotRun,
-         "it ran after a refusal that says not run", request);
+         "a request ran after an error that says not run", request);
   if (call.stage != "order") {
     return;
   }
@@ -381,7 +374,7 @@
   ++poison_crashes_[call.marker];
   const std::uint64_t crashes = ++crashes_by_daemon_[{call.from, call.marker}];
   Expect(crashes <= kMaxCrashesPerDaemon,
-         "one daemon lost more servers to a request",
+         "a request crashed too many servers of one daemon",
          requests_.at({call.from, call.request}));
 }
 
--- a/tests/random/request_simulation.h
+++ b/tests/random/request_simulation.h
@@ -13,8 +13,8 @@
 
 namespace gentianroute::testing {
 
-/// @brief What one run has seen; printed, so that a run that tested nothing
-/// shows.
+/// @brief Counts of one run; printed, so that a run without faults or effects
+/// is noticed.
 struct SimulationReport {
   std::uint64_t events = 0;
   std::uint64_t submitted = 0;
@@ -27,7 +27,7 @@
   std::uint64_t kills = 0;
   std::uint64_t freezes = 0;
   std::uint64_t poison_crashes = 0;
-  std::uint64_t worst_poison = 0;  ///< servers lost to one request
+  std::uint64_t worst_poison = 0;  ///< most servers that one request crashed
   std::uint64_t poisons = 0;
   std::uint64_t innocent_quarantined = 0;
   std::uint64_t late = 0;
@@ -35,14 +35,15 @@
   std::uint64_t resumed = 0;
 };
 
-/// @brief Several daemons' decisions over one store and one set of backend
-/// servers, under every fault at once. Ends the process when an invariant
-/// breaks.
+/// @brief Simulates several daemons with one store and one set of backend
+/// servers, with all kinds of faults at the same time. Aborts the process if an
+/// invariant is violated.
 class RequestSimulation : private BackendObserver {
  public:
   RequestSimulation(std::uint64_t seed, std::uint64_t events);
 
-  /// @brief Runs until the events are used up and everything has ended.
+  /// @brief Submits requests for the given number of events, then runs until
+  /// all have ended.
   SimulationReport Run();
 
  private:
@@ -53,12 +54,13 @@
     TimePoint wake_at = kNever;
     std::map<JoinId, std::function<void(JoinOutcome)>> joins;
   };
-  /// One request as its caller sent it.
+  /// One request as its caller sent it, and what was observed of it.
   struct SimulatedRequest {
     std::string marker;
     std::string key;
     std::string service;
-    std::string body_marker;  ///< differs from `marker` on a reused key
+    std::string body_marker;  ///< differs from `marker` if a key is reused with
+                              ///< another body
     TimePoint deadline{};
     int resends = 0;
     std::uint64_t runs = 0;
@@ -110,7 +112,7 @@
   bool IsClosing() const { return events_.executed() >= max_events_; }
   Daemon& PickDaemon() { return daemons_[random_.Below(daemons_.size())]; }
   void Expect(bool condition,
-              const char* invariant,
+              const char* violation,
               const SimulatedRequest& request) const;
 
   std::uint64_t seed_;
--- a/tests/random/request_workload.cc
+++ b/tests/random/request_workload.cc
@@ -1,4 +1,4 @@
-// Who calls and what breaks when.
+// Workload and fault schedule of RequestSimulation.
 
 #include <array>
 #include <memory>
@@ -113,7 +113,7 @@
 void RequestSimulation::Submit(SimulatedRequest request) {
   Daemon& daemon = PickDaemon();
   if (events_.now() < daemon.frozen_until) {
-    // The caller connects, and the daemon reads when it resumes.
+    // The caller connects; the daemon reads the request when it resumes.
     events_.At(daemon.frozen_until, [this, request] { Submit(request); });
     return;
   }
@@ -122,7 +122,8 @@
   submission.wants_stream = true;
   submission.organisation = "org-" + std::to_string(random_.Below(5));
   if (!request.key.empty()) {
-    submission.organisation = "org-keyed";  // one key space for the checks
+    submission.organisation =
+        "org-keyed";  // keys of all requests are in one namespace
   }
   submission.timeout = random_.Between(300, 6000);
   request.deadline = events_.now() + submission.timeout;
@@ -140,7 +141,7 @@
       });
     });
   }
-  // Some callers do not wait for the first answer before they send again.
+  // Some callers resend before the first answer.
   if (!sent.key.empty() && sent.resends == 0 && random_.Chance(0.3)) {
     Resend(sent);
   }
@@ -159,7 +160,7 @@
   retry.resends = request.resends + 1;
   retry.body_marker = request.body_marker;
   if (!retry.key.empty() && random_.Chance(0.05)) {
-    retry.body_marker += "x";  // a key used again for another body
+    retry.body_marker += "x";  // the key is reused with another body
   }
   events_.After(random_.Between(0, 3000), [this, retry] { Submit(retry); });
 }
