--- a/tests/random/claim_histories.cc
+++ b/tests/random/claim_histories.cc
@@ -1,5 +1,6 @@
-// Property test: three claim ledgers over one store never hold the same
-// key. RapidCheck generates histories and shrinks a failing one.
+// Property test of three claim ledgers over one store: no two of them hold a
+// key at the same time, and none gets a key that another one has used.
+// RapidCheck generates histories and shrinks a failing one.
 
 #include <rapidcheck.h>
 #include <array>
--- a/tests/random/fake_store.h
+++ b/tests/random/fake_store.h
@@ -9,8 +9,9 @@
 
 namespace gentianroute::testing {
 
-/// @brief Table service with outages and a network that loses messages. A write
-/// whose answer is lost takes effect never or seconds later.
+/// @brief Table service with outages and a network that loses messages. If
+/// the answer to a write is lost, the write may take effect up to seconds later
+/// or never.
 class FakeStore {
  public:
   FakeStore(EventQueue& events, RandomSource& random)
--- a/tests/random/request_simulation.h
+++ b/tests/random/request_simulation.h
@@ -21,15 +21,16 @@
   std::uint64_t answered = 0;
   std::uint64_t not_run = 0;
   std::uint64_t unknown = 0;
-  std::uint64_t lost_with_daemon = 0;
+  std::uint64_t lost_with_daemon = 0;  ///< unfinished when a daemon was killed
   std::uint64_t effects = 0;
-  std::uint64_t replayed = 0;
+  std::uint64_t replayed =
+      0;  ///< answered with the result of an earlier request
   std::uint64_t kills = 0;
   std::uint64_t freezes = 0;
   std::uint64_t poison_crashes = 0;
   std::uint64_t worst_poison = 0;  ///< most servers that one request crashed
-  std::uint64_t poisons = 0;
-  std::uint64_t innocent_quarantined = 0;
+  std::uint64_t poisons = 0;  ///< requests that crashed at least one server
+  std::uint64_t innocent_quarantined = 0;  ///< quarantined, but no poison
   std::uint64_t late = 0;
   std::uint64_t crossed = 0;
   std::uint64_t resumed = 0;
@@ -67,7 +68,7 @@
     std::uint64_t effects = 0;
     std::string streamed;
     std::uint64_t stream_offset = 0;
-    std::optional<ExecutionState> failed_as;
+    std::optional<ExecutionState> failed_as;  ///< of its error; empty: none
     bool finished = false;
 
     bool IsPoison() const { return marker.starts_with("poison"); }
@@ -129,7 +130,7 @@
   std::map<std::pair<DaemonId, std::string>, std::uint64_t> crashes_by_daemon_;
   std::set<std::pair<DaemonId, AttemptId>> cancelled_;
   std::uint64_t next_marker_ = 0;
-  TimePoint closed_at_ = kNever;
+  TimePoint closed_at_ = kNever;  ///< when the last request was submitted
   SimulationReport report_;
 };
 
