--- a/tests/random/request_simulation.h
+++ b/tests/random/request_simulation.h
@@ -23,8 +23,7 @@
   std::uint64_t unknown = 0;
   std::uint64_t lost_with_daemon = 0;  ///< unfinished when a daemon was killed
   std::uint64_t effects = 0;
-  std::uint64_t replayed =
-      0;  ///< answered with the result of an earlier request
+  std::uint64_t replayed = 0;  ///< answered with a saved result
   std::uint64_t kills = 0;
   std::uint64_t freezes = 0;
   std::uint64_t poison_crashes = 0;
@@ -130,7 +129,7 @@
   std::map<std::pair<DaemonId, std::string>, std::uint64_t> crashes_by_daemon_;
   std::set<std::pair<DaemonId, AttemptId>> cancelled_;
   std::uint64_t next_marker_ = 0;
-  TimePoint closed_at_ = kNever;  ///< when the last request was submitted
+  TimePoint closed_at_ = kNever;  ///< when the submissions stopped
   SimulationReport report_;
 };
 
