--- a/benchmarks/capacity/capacity_bench.cc
+++ b/benchmarks/capacity/capacity_bench.cc
@@ -18,8 +18,8 @@
 #include "gentianroute/decision/coordinator.h"
 #include "gentianroute/schema/declarations.h"
 #include "gentianroute/schema/rows.h"
-#include "slope.h"
-#include "spread.h"
+#include "gossip_simulation.h"
+#include "linear_fit.h"
 
 #include <peer.capnp.h>
 
@@ -33,9 +33,9 @@
 constexpr std::size_t kServers = 10'000;
 constexpr std::size_t kOrganisations = 5'400;
 const std::vector<std::size_t> kServerSizes = {100, 1'000, 5'000, 10'000};
-const std::vector<std::size_t> kUseSizes = {50, 500, 2'000, 5'400};
+const std::vector<std::size_t> kOrganisationSizes = {50, 500, 2'000, 5'400};
 
-std::vector<HostRecord> Hosts(std::size_t count) {
+std::vector<HostRecord> MakeHosts(std::size_t count) {
   constexpr std::size_t kDataCentres = 11;
   constexpr std::size_t kRegions = 5;
   std::vector<HostRecord> hosts;
@@ -54,10 +54,10 @@
   return hosts;
 }
 
-Slope HostListTime() {
+LinearFit HostListTime() {
   std::vector<Point> points;
   for (const std::size_t size : kServerSizes) {
-    const std::vector<HostRecord> hosts = Hosts(size);
+    const std::vector<HostRecord> hosts = MakeHosts(size);
     ServerTable table({}, {});
     table.ApplyHostList(TimePoint{}, hosts);
     points.push_back(
@@ -65,27 +65,28 @@
                                       table.ApplyHostList(TimePoint{}, hosts);
                                     })});
   }
-  return Fit("take over an unchanged host list", "servers", "us",
-             std::move(points), kServers);
+  return FitLine("take over an unchanged host list", "servers", "us",
+                 std::move(points), kServers);
 }
 
-Slope HostListMemory() {
+LinearFit HostListMemory() {
   std::vector<Point> points;
   for (const std::size_t size : kServerSizes) {
-    const std::vector<HostRecord> hosts = Hosts(size);
+    const std::vector<HostRecord> hosts = MakeHosts(size);
     const double before = HeapBytes();
     ServerTable table({}, {});
     table.ApplyHostList(TimePoint{}, hosts);
     points.push_back({static_cast<double>(size), HeapBytes() - before});
   }
-  return Fit("server table", "servers", "bytes", std::move(points), kServers);
+  return FitLine("server table", "servers", "bytes", std::move(points),
+                 kServers);
 }
 
-Slope HostListBytes() {
+LinearFit HostListBytes() {
   std::vector<Point> points;
   for (const std::size_t size : kServerSizes) {
     nlohmann::json list = nlohmann::json::array();
-    for (const HostRecord& host : Hosts(size)) {
+    for (const HostRecord& host : MakeHosts(size)) {
       list.push_back({{"name", host.name},
                       {"address", host.address},
                       {"port", host.port},
@@ -100,31 +101,31 @@
     points.push_back(
         {static_cast<double>(size), static_cast<double>(list.dump().size())});
   }
-  return Fit("whole host list as JSON", "servers", "bytes", std::move(points),
-             kServers);
+  return FitLine("whole host list as JSON", "servers", "bytes",
+                 std::move(points), kServers);
 }
 
-Slope HeaviestTime() {
+LinearFit HeaviestTime() {
   std::vector<Point> points;
-  constexpr std::size_t kReported = 6;
-  for (const std::size_t size : kUseSizes) {
+  constexpr std::size_t kRecordsPerDigest = 6;
+  for (const std::size_t size : kOrganisationSizes) {
     UsageLedger ledger;
     for (std::size_t i = 0; i < size; ++i) {
       ledger.Charge(TimePoint{}, "organisation-" + std::to_string(i),
                     "subscriber", static_cast<double>(i + 1));
     }
-    points.push_back(
-        {static_cast<double>(size), kMicros * ShortestRun(kRuns, [&] {
-                                      ledger.Heaviest(TimePoint{}, kReported);
-                                    })});
+    points.push_back({static_cast<double>(size),
+                      kMicros * ShortestRun(kRuns, [&] {
+                        ledger.Heaviest(TimePoint{}, kRecordsPerDigest);
+                      })});
   }
-  return Fit("heaviest records for a digest", "organisations", "us",
-             std::move(points), kOrganisations);
+  return FitLine("heaviest records for a digest", "organisations", "us",
+                 std::move(points), kOrganisations);
 }
 
-Slope UsageMemory() {
+LinearFit UsageMemory() {
   std::vector<Point> points;
-  for (const std::size_t size : kUseSizes) {
+  for (const std::size_t size : kOrganisationSizes) {
     const double before = HeapBytes();
     UsageLedger ledger;
     for (std::size_t i = 0; i < size; ++i) {
@@ -133,11 +134,11 @@
     }
     points.push_back({static_cast<double>(size), HeapBytes() - before});
   }
-  return Fit("usage ledger, one subscriber each", "organisations", "bytes",
-             std::move(points), kOrganisations);
+  return FitLine("usage ledger, one subscriber each", "organisations", "bytes",
+                 std::move(points), kOrganisations);
 }
 
-Slope DigestBytes() {
+LinearFit DigestBytes() {
   std::vector<Point> points;
   for (const unsigned size : {0U, 2U, 4U, 6U, 12U}) {
     capnp::MallocMessageBuilder message;
@@ -155,12 +156,12 @@
     points.push_back({static_cast<double>(size),
                       static_cast<double>(stream.getArray().size())});
   }
-  constexpr double kTold = 6;
-  return Fit("digest between two daemons", "heaviest records", "bytes",
-             std::move(points), kTold);
+  constexpr double kRecordsPerDigest = 6;
+  return FitLine("digest between two daemons", "heaviest records", "bytes",
+                 std::move(points), kRecordsPerDigest);
 }
 
-Documents Declared(std::size_t profiles) {
+Documents MakeDocuments(std::size_t profiles) {
   std::string text = R"({"pools":[{"name":"llm"}],"profiles":[)";
   for (std::size_t i = 0; i < profiles; ++i) {
     text += std::string(i == 0 ? "" : ",") + R"({"name":"profile-)" +
@@ -180,13 +181,13 @@
       [] { return Documents{}; });
 }
 
-Slope RevisionTime() {
+LinearFit RevisionTime() {
   std::vector<Point> points;
   const JsonConfigCodec codec;
   for (const std::size_t size : {4U, 12U, 48U, 96U}) {
     ConfigSnapshot snapshot;
     snapshot.revision = 1;
-    snapshot.documents = Declared(size);
+    snapshot.documents = MakeDocuments(size);
     ConfigFollower follower(codec);
     follower.Apply(snapshot);
     const auto first = snapshot.documents.begin();
@@ -202,12 +203,12 @@
                       })});
   }
   constexpr double kProfiles = 12;
-  return Fit("take a revision over", "profiles in force", "us",
-             std::move(points), kProfiles);
+  return FitLine("take a revision over", "profiles in force", "us",
+                 std::move(points), kProfiles);
 }
 
 /// A table service that commits at once.
-double ClaimMicros(std::size_t claims) {
+double ClaimCycleMicros(std::size_t claims) {
   const JsonClaimCodec codec;
   ClaimLedger::Options options;
   options.daemon = "entry-host-1";
@@ -243,30 +244,29 @@
   return kMicros * seconds;
 }
 
-Slope ClaimTime() {
+LinearFit ClaimTime() {
   std::vector<Point> points;
   for (const std::size_t size : {1'000U, 5'000U, 20'000U}) {
-    points.push_back({static_cast<double>(size), ClaimMicros(size)});
+    points.push_back({static_cast<double>(size), ClaimCycleMicros(size)});
   }
   constexpr double kThousand = 1'000;
-  return Fit("claims made and settled", "claims", "us", std::move(points),
-             kThousand);
+  return FitLine("claims made and settled", "claims", "us", std::move(points),
+                 kThousand);
 }
 
 /// The slowest of some seeds, since "everywhere" is as late as the last one.
-Slope TimeInForce(const std::string& name, std::uint32_t rumours) {
+LinearFit ConvergenceTime(const std::string& name, std::uint32_t rumours) {
   constexpr std::uint64_t kSeeds = 20;
   constexpr double kDaemons = 810;
   std::vector<Point> points;
   for (const std::size_t daemons : {9U, 90U, 270U, 810U}) {
     double slowest = 0;
     for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
-      slowest =
-          std::max(slowest, SecondsUntilInForce({daemons, rumours, seed}));
+      slowest = std::max(slowest, ConvergenceSeconds({daemons, rumours, seed}));
     }
     points.push_back({static_cast<double>(daemons), slowest});
   }
-  return Fit(name, "daemons", "virtual s", std::move(points), kDaemons);
+  return FitLine(name, "daemons", "virtual s", std::move(points), kDaemons);
 }
 
 }  // namespace
@@ -276,7 +276,7 @@
   std::string output = "text";
   app.add_option("--output", output)->check(CLI::IsMember({"text", "json"}));
   CLI11_PARSE(app, argc, argv);
-  const std::vector<Slope> slopes = {
+  const std::vector<LinearFit> fits = {
       HostListTime(),
       HostListMemory(),
       HostListBytes(),
@@ -285,9 +285,9 @@
       DigestBytes(),
       RevisionTime(),
       ClaimTime(),
-      TimeInForce("revision in force everywhere, with rumours", 1),
-      TimeInForce("revision in force everywhere, without rumours", 0)};
-  std::printf("%s\n", output == "json" ? ToJson(slopes).c_str()
-                                       : ToText(slopes).c_str());
+      ConvergenceTime("revision in force everywhere, with rumours", 1),
+      ConvergenceTime("revision in force everywhere, without rumours", 0)};
+  std::printf("%s\n",
+              output == "json" ? ToJson(fits).c_str() : ToText(fits).c_str());
   return 0;
 }
--- a/benchmarks/capacity/spread.cc
+++ b/benchmarks/capacity/gossip_simulation.cc
@@ -1,4 +1,4 @@
-#include "spread.h"
+#include "gossip_simulation.h"
 
 #include <functional>
 #include <memory>
@@ -14,16 +14,16 @@
 namespace gentianroute::capacity {
 namespace {
 
-constexpr Duration kOneWay = std::chrono::milliseconds(20);
-constexpr Duration kPeriod = std::chrono::seconds(1);
-constexpr std::size_t kPeersInRound = 1;
-constexpr std::size_t kPeersInRumour = 2;
+constexpr Duration kOneWayLatency = std::chrono::milliseconds(20);
+constexpr Duration kGossipPeriod = std::chrono::seconds(1);
+constexpr std::size_t kPeersPerRound = 1;
+constexpr std::size_t kPeersPerRumour = 2;
 constexpr std::size_t kRevisionsPerCall = 64;
 
 /// Daemons with real followers; messages are events in virtual time.
-class Spread {
+class GossipSimulation {
  public:
-  explicit Spread(const SpreadOptions& options)
+  explicit GossipSimulation(const GossipOptions& options)
       : options_(options), rng_(options.seed) {
     for (std::size_t i = 0; i < options.daemons; ++i) {
       followers_.push_back(std::make_unique<ConfigFollower>(codec_));
@@ -32,15 +32,16 @@
   }
 
   double Run() {
-    std::uniform_int_distribution<Duration::rep> phase(0, kPeriod.count() - 1);
+    std::uniform_int_distribution<Duration::rep> phase(
+        0, kGossipPeriod.count() - 1);
     for (std::size_t i = 0; i < followers_.size(); ++i) {
-      At(TimePoint{Duration(phase(rng_))}, [this, i] { Period(i); });
+      Schedule(TimePoint{Duration(phase(rng_))}, [this, i] { RunPeriod(i); });
     }
     ConfigRevision first;
     first.revision = 1;
     first.changes = {{DocumentKind::kPool, "llm", R"({"name":"llm"})", 0}};
     Apply(0, {first});
-    while (informed_ < followers_.size()) {
+    while (applied_count_ < followers_.size()) {
       Event event = events_.top();
       events_.pop();
       now_ = event.due;
@@ -59,20 +60,20 @@
     }
   };
 
-  void At(TimePoint due, std::function<void()> run) {
+  void Schedule(TimePoint due, std::function<void()> run) {
     events_.push({due, next_order_++, std::move(run)});
   }
-  void After(int paths, std::function<void()> run) {
-    At(now_ + paths * kOneWay, std::move(run));
+  void ScheduleAfter(int paths, std::function<void()> run) {
+    Schedule(now_ + paths * kOneWayLatency, std::move(run));
   }
 
-  void Period(std::size_t daemon) {
+  void RunPeriod(std::size_t daemon) {
     rumours_left_[daemon] = options_.rumours;
-    Round(daemon, kPeersInRound);
-    At(now_ + kPeriod, [this, daemon] { Period(daemon); });
+    ExchangeWithPeers(daemon, kPeersPerRound);
+    Schedule(now_ + kGossipPeriod, [this, daemon] { RunPeriod(daemon); });
   }
 
-  void Round(std::size_t daemon, std::size_t peers) {
+  void ExchangeWithPeers(std::size_t daemon, std::size_t peers) {
     std::uniform_int_distribution<std::size_t> draw(0, followers_.size() - 1);
     for (std::size_t i = 0; i < peers; ++i) {
       Exchange(daemon, draw(rng_));
@@ -82,12 +83,12 @@
   /// Digests cross; who is behind asks the other for what follows.
   void Exchange(std::size_t from, std::size_t to) {
     const std::uint64_t sent = followers_[from]->revision();
-    After(1, [this, from, to, sent] {
+    ScheduleAfter(1, [this, from, to, sent] {
       const std::uint64_t answered = followers_[to]->revision();
       if (sent > answered) {
         Fetch(to, from);
       }
-      After(1, [this, from, to, answered] {
+      ScheduleAfter(1, [this, from, to, answered] {
         if (answered > followers_[from]->revision()) {
           Fetch(from, to);
         }
@@ -97,9 +98,9 @@
 
   void Fetch(std::size_t daemon, std::size_t from) {
     const std::uint64_t after = followers_[daemon]->revision();
-    After(1, [this, daemon, from, after] {
+    ScheduleAfter(1, [this, daemon, from, after] {
       auto revisions = followers_[from]->After(after, kRevisionsPerCall);
-      After(1, [this, daemon, revisions] { Apply(daemon, revisions); });
+      ScheduleAfter(1, [this, daemon, revisions] { Apply(daemon, revisions); });
     });
   }
 
@@ -107,14 +108,14 @@
     if (!followers_[daemon]->Apply(revisions)) {
       return;
     }
-    ++informed_;
+    ++applied_count_;
     if (rumours_left_[daemon] > 0) {
       --rumours_left_[daemon];
-      Round(daemon, kPeersInRumour);
+      ExchangeWithPeers(daemon, kPeersPerRumour);
     }
   }
 
-  SpreadOptions options_;
+  GossipOptions options_;
   std::mt19937_64 rng_;
   JsonConfigCodec codec_;
   std::vector<std::unique_ptr<ConfigFollower>> followers_;
@@ -122,14 +123,14 @@
   std::priority_queue<Event, std::vector<Event>, std::greater<>> events_;
   TimePoint now_{};
   std::uint64_t next_order_ = 0;
-  std::size_t informed_ = 0;
+  std::size_t applied_count_ = 0;
 };
 
 }  // namespace
 
-double SecondsUntilInForce(const SpreadOptions& options) {
+double ConvergenceSeconds(const GossipOptions& options) {
   GR_INVARIANT(options.daemons > 1);
-  return Spread(options).Run();
+  return GossipSimulation(options).Run();
 }
 
 }  // namespace gentianroute::capacity
--- a/benchmarks/capacity/spread.h
+++ b/benchmarks/capacity/gossip_simulation.h
@@ -1,5 +1,5 @@
-#ifndef GENTIANROUTE_BENCHMARKS_CAPACITY_SPREAD_H_
-#define GENTIANROUTE_BENCHMARKS_CAPACITY_SPREAD_H_
+#ifndef GENTIANROUTE_BENCHMARKS_CAPACITY_GOSSIP_SIMULATION_H_
+#define GENTIANROUTE_BENCHMARKS_CAPACITY_GOSSIP_SIMULATION_H_
 
 #include <cstddef>
 #include <cstdint>
@@ -7,7 +7,7 @@
 namespace gentianroute::capacity {
 
 /// @brief How daemons tell each other, as PeerLinks does it.
-struct SpreadOptions {
+struct GossipOptions {
   std::size_t daemons = 810;
   std::uint32_t rumours = 1;  ///< extra rounds in a period; 0: none
   std::uint64_t seed = 1;
@@ -16,8 +16,8 @@
 /// @brief Applies one revision at one daemon and lets gossip alone carry it:
 /// nobody polls the store. Every path takes 20 ms one way, as between regions.
 /// @return seconds of virtual time until every follower has it
-double SecondsUntilInForce(const SpreadOptions& options);
+double ConvergenceSeconds(const GossipOptions& options);
 
 }  // namespace gentianroute::capacity
 
-#endif  // GENTIANROUTE_BENCHMARKS_CAPACITY_SPREAD_H_
+#endif  // GENTIANROUTE_BENCHMARKS_CAPACITY_GOSSIP_SIMULATION_H_
--- a/benchmarks/capacity/slope.cc
+++ b/benchmarks/capacity/linear_fit.cc
@@ -1,4 +1,4 @@
-#include "slope.h"
+#include "linear_fit.h"
 
 #include <malloc.h>
 
@@ -11,11 +11,11 @@
 
 namespace gentianroute::capacity {
 
-Slope Fit(std::string name,
-          std::string size_unit,
-          std::string value_unit,
-          std::vector<Point> points,
-          double target) {
+LinearFit FitLine(std::string name,
+                  std::string size_unit,
+                  std::string value_unit,
+                  std::vector<Point> points,
+                  double target) {
   double size_sum = 0;
   double value_sum = 0;
   double square_sum = 0;
@@ -28,22 +28,22 @@
   }
   const auto count = static_cast<double>(points.size());
   const double spread = count * square_sum - size_sum * size_sum;
-  Slope slope;
-  slope.name = std::move(name);
-  slope.size_unit = std::move(size_unit);
-  slope.value_unit = std::move(value_unit);
-  slope.per_size =
+  LinearFit fit;
+  fit.name = std::move(name);
+  fit.size_unit = std::move(size_unit);
+  fit.value_unit = std::move(value_unit);
+  fit.per_size =
       spread > 0 ? (count * product_sum - size_sum * value_sum) / spread : 0;
-  slope.base = (value_sum - slope.per_size * size_sum) / count;
-  slope.target = target;
-  slope.at_target = slope.base + slope.per_size * target;
+  fit.base = (value_sum - fit.per_size * size_sum) / count;
+  fit.target = target;
+  fit.at_target = fit.base + fit.per_size * target;
   for (const Point& point : points) {
     if (point.size == target) {
-      slope.at_target = point.value;
+      fit.at_target = point.value;
     }
   }
-  slope.points = std::move(points);
-  return slope;
+  fit.points = std::move(points);
+  return fit;
 }
 
 double ShortestRun(int runs, const std::function<void()>& body) {
@@ -63,41 +63,41 @@
   return static_cast<double>(info.uordblks + info.hblkhd);
 }
 
-std::string ToText(std::span<const Slope> slopes) {
+std::string ToText(std::span<const LinearFit> fits) {
   std::string text;
   char line[256];
-  for (const Slope& slope : slopes) {
-    std::snprintf(line, sizeof(line), "%s (%s by %s)\n", slope.name.c_str(),
-                  slope.value_unit.c_str(), slope.size_unit.c_str());
+  for (const LinearFit& fit : fits) {
+    std::snprintf(line, sizeof(line), "%s (%s by %s)\n", fit.name.c_str(),
+                  fit.value_unit.c_str(), fit.size_unit.c_str());
     text += line;
-    for (const Point& point : slope.points) {
+    for (const Point& point : fit.points) {
       std::snprintf(line, sizeof(line), "  %10.0f  %14.4g\n", point.size,
                     point.value);
       text += line;
     }
     std::snprintf(line, sizeof(line),
-                  "  base %.4g, per one more %.4g, at %.0f: %.4g\n", slope.base,
-                  slope.per_size, slope.target, slope.at_target);
+                  "  base %.4g, per one more %.4g, at %.0f: %.4g\n", fit.base,
+                  fit.per_size, fit.target, fit.at_target);
     text += line;
   }
   return text;
 }
 
-std::string ToJson(std::span<const Slope> slopes) {
+std::string ToJson(std::span<const LinearFit> fits) {
   nlohmann::json all = nlohmann::json::array();
-  for (const Slope& slope : slopes) {
+  for (const LinearFit& fit : fits) {
     nlohmann::json points = nlohmann::json::array();
-    for (const Point& point : slope.points) {
+    for (const Point& point : fit.points) {
       points.push_back({{"size", point.size}, {"value", point.value}});
     }
-    all.push_back({{"name", slope.name},
-                   {"size_unit", slope.size_unit},
-                   {"value_unit", slope.value_unit},
+    all.push_back({{"name", fit.name},
+                   {"size_unit", fit.size_unit},
+                   {"value_unit", fit.value_unit},
                    {"points", std::move(points)},
-                   {"base", slope.base},
-                   {"per_size", slope.per_size},
-                   {"target", slope.target},
-                   {"at_target", slope.at_target}});
+                   {"base", fit.base},
+                   {"per_size", fit.per_size},
+                   {"target", fit.target},
+                   {"at_target", fit.at_target}});
   }
   return all.dump(2);
 }
--- a/benchmarks/capacity/slope.h
+++ b/benchmarks/capacity/linear_fit.h
@@ -1,5 +1,5 @@
-#ifndef GENTIANROUTE_BENCHMARKS_CAPACITY_SLOPE_H_
-#define GENTIANROUTE_BENCHMARKS_CAPACITY_SLOPE_H_
+#ifndef GENTIANROUTE_BENCHMARKS_CAPACITY_LINEAR_FIT_H_
+#define GENTIANROUTE_BENCHMARKS_CAPACITY_LINEAR_FIT_H_
 
 #include <cstddef>
 #include <functional>
@@ -16,7 +16,7 @@
 };
 
 /// @brief A quantity measured at several sizes, with its fitted line.
-struct Slope {
+struct LinearFit {
   std::string name;
   std::string size_unit;   ///< what grows
   std::string value_unit;  ///< what was measured
@@ -29,11 +29,11 @@
 };
 
 /// @brief Fits a line through the points.
-Slope Fit(std::string name,
-          std::string size_unit,
-          std::string value_unit,
-          std::vector<Point> points,
-          double target);
+LinearFit FitLine(std::string name,
+                  std::string size_unit,
+                  std::string value_unit,
+                  std::vector<Point> points,
+                  double target);
 
 /// @brief Shortest of several runs, which the machine's other work disturbs
 /// least.
@@ -43,9 +43,9 @@
 /// @brief Heap in use by this process, in bytes.
 double HeapBytes();
 
-std::string ToText(std::span<const Slope> slopes);
-std::string ToJson(std::span<const Slope> slopes);
+std::string ToText(std::span<const LinearFit> fits);
+std::string ToJson(std::span<const LinearFit> fits);
 
 }  // namespace gentianroute::capacity
 
-#endif  // GENTIANROUTE_BENCHMARKS_CAPACITY_SLOPE_H_
+#endif  // GENTIANROUTE_BENCHMARKS_CAPACITY_LINEAR_FIT_H_
