--- a/benchmarks/decision_bench.cc
+++ b/benchmarks/decision_bench.cc
@@ -12,9 +12,9 @@
 namespace gentianroute {
 namespace {
 
-constexpr Duration kStep{100};
+constexpr Duration kRequestInterval{100};
 
-class NoClaims : public ClaimCodec {
+class NullClaimCodec : public ClaimCodec {
  public:
   std::string Encode(const Claim& /*claim*/) const override { return {}; }
   std::optional<Claim> Decode(std::string_view /*text*/) const override {
@@ -22,7 +22,7 @@
   }
 };
 
-std::vector<HostRecord> Hosts(std::int64_t count) {
+std::vector<HostRecord> MakeHosts(std::int64_t count) {
   std::vector<HostRecord> hosts(static_cast<std::size_t>(count));
   for (std::size_t i = 0; i < hosts.size(); ++i) {
     const std::string region = "region" + std::to_string(i % 3);
@@ -43,13 +43,13 @@
   return options;
 }
 
-std::string Organisation(std::int64_t i) {
+std::string OrganisationName(std::int64_t i) {
   return "organisation" + std::to_string(i);
 }
 
 void Pick(benchmark::State& state) {
   ServerTable table(TableOptions(), {});
-  table.ApplyHostList({}, Hosts(state.range(0)));
+  table.ApplyHostList({}, MakeHosts(state.range(0)));
   Rng rng(1);
   PickContext context;
   context.pool = "pool";
@@ -63,7 +63,7 @@
 /// All servers but one are full, which is where a scan would be longest.
 void PickWhenFull(benchmark::State& state) {
   ServerTable table(TableOptions(), {});
-  table.ApplyHostList({}, Hosts(state.range(0)));
+  table.ApplyHostList({}, MakeHosts(state.range(0)));
   for (const auto& [name, server] : table.servers()) {
     while (name != "server0" && server->in_flight < server->host.slots) {
       table.OnStart(*server);
@@ -79,7 +79,7 @@
 
 void ApplyHostList(benchmark::State& state) {
   ServerTable table(TableOptions(), {});
-  const std::vector<HostRecord> hosts = Hosts(state.range(0));
+  const std::vector<HostRecord> hosts = MakeHosts(state.range(0));
   for (auto _ : state) {
     table.ApplyHostList({}, hosts);
   }
@@ -92,10 +92,10 @@
   std::uint64_t next = 1;
   TimePoint now{};
   for (std::int64_t i = 0; i < state.range(0); ++i) {
-    queue.Push({RequestId{next++}, Organisation(i), "s", 1, 0.1});
+    queue.Push({RequestId{next++}, OrganisationName(i), "s", 1, 0.1});
   }
   for (auto _ : state) {
-    now += kStep;
+    now += kRequestInterval;
     auto waiter = queue.Pop(now);
     waiter->request = RequestId{next++};
     queue.Push(std::move(*waiter));
@@ -110,7 +110,7 @@
     catalogue->profiles["profile"] = profile;
     catalogue->services["service"] = {"service", "profile"};
     coordinator.SetCatalogue(catalogue);
-    servers.ApplyHostList({}, Hosts(hosts));
+    servers.ApplyHostList({}, MakeHosts(hosts));
   }
 
   /// Submits one request and answers its one call.
@@ -138,7 +138,7 @@
     benchmark::DoNotOptimize(coordinator.TakeActions());
   }
 
-  NoClaims codec;
+  NullClaimCodec codec;
   ServerTable servers;
   UsageLedger usage;
   SuspectTable suspects;
@@ -151,12 +151,12 @@
   Daemon daemon(state.range(0));
   std::vector<std::string> names;
   for (std::int64_t i = 0; i < state.range(1); ++i) {
-    names.push_back(Organisation(i));
+    names.push_back(OrganisationName(i));
   }
   TimePoint now{};
   std::size_t next = 0;
   for (auto _ : state) {
-    now += kStep;
+    now += kRequestInterval;
     daemon.Serve(now, names[next++ % names.size()]);
   }
 }
