--- a/benchmarks/load_callers.cc
+++ b/benchmarks/load_callers.cc
@@ -3,19 +3,19 @@
 #include <utility>
 
 #include "gentianroute/base/error_kind.h"
-#include "load_parts.h"
+#include "load_model_internal.h"
 
 namespace gentianroute::bench {
 namespace {
 
 using std::chrono::milliseconds;
 
-constexpr Duration kToCallers = milliseconds(3);
-constexpr Duration kResendAfter = milliseconds(300);
+constexpr Duration kCallerLatency = milliseconds(3);
+constexpr Duration kResendDelay = milliseconds(300);
 
 }  // namespace
 
-double LoadModel::RateNow() const {
+double LoadModel::CurrentRateFactor() const {
   // Mean one: four seconds at a half, then one at three times the rate.
   if (!plan_.bursts) {
     return 1;
@@ -25,7 +25,7 @@
 }
 
 void LoadModel::ScheduleArrival(std::size_t index) {
-  const double rate = plan_.traffic[index].per_second * RateNow();
+  const double rate = plan_.traffic[index].per_second * CurrentRateFactor();
   const double wait = std::exponential_distribution<double>(rate)(rng_);
   // No longer than a tenth of a second, so that a burst begins on time.
   const double step = std::min(wait, 0.1);
@@ -33,12 +33,13 @@
   if (due >= TimePoint{} + plan_.length) {
     return;
   }
-  At(due, [this, index, arrives = wait <= 0.1] {
+  Schedule(due, [this, index, arrives = wait <= 0.1] {
     if (arrives) {
       const double draw = std::uniform_real_distribution<double>(0, 1)(rng_);
       const std::size_t any = rng_() % daemons_.size();
-      const std::size_t chosen = draw < plan_.at_first ? 0 : any;
-      Daemon& daemon = *daemons_[plan_.traffic[index].only_at.value_or(chosen)];
+      const std::size_t chosen = draw < plan_.first_daemon_share ? 0 : any;
+      Daemon& daemon =
+          *daemons_[plan_.traffic[index].daemon_index.value_or(chosen)];
       Submit(daemon, plan_.traffic[index], now_, plan_.caller_resends);
     }
     ScheduleArrival(index);
@@ -47,9 +48,10 @@
 
 void LoadModel::Submit(Daemon& daemon,
                        const Traffic& traffic,
-                       TimePoint first,
-                       std::uint32_t resends) {
-  const Duration left = first + plan_.profile.deadline - now_ - 2 * kToCallers;
+                       TimePoint first_sent,
+                       std::uint32_t resends_left) {
+  const Duration left =
+      first_sent + plan_.profile.deadline - now_ - 2 * kCallerLatency;
   Submission submission;
   submission.service = "service";
   submission.organisation = traffic.organisation;
@@ -57,56 +59,58 @@
   submission.body =
       "{\"letter\":\"" + std::string(plan_.body_bytes, 'a') + "\"}";
   submission.fingerprint = Fingerprint{rng_()};
-  if (plan_.prefixes > 0) {
+  if (plan_.prefix_count > 0) {
     // The square makes a few prefixes much more frequent than the others.
     const double draw = std::uniform_real_distribution<double>(0, 1)(rng_);
     submission.prefix =
         1 + static_cast<std::uint64_t>(draw * draw *
-                                       static_cast<double>(plan_.prefixes));
+                                       static_cast<double>(plan_.prefix_count));
   }
   submission.timeout = std::max(left, Duration(1));
   const RequestId id =
       daemon.coordinator.Submit(now_, 0, std::move(submission));
-  daemon.sent[id] = {traffic, first, resends};
-  Drain(daemon);
+  daemon.pending_requests[id] = {traffic, first_sent, resends_left};
+  ExecuteActions(daemon);
 }
 
-void LoadModel::Act(Daemon& daemon, FinishRequest& finish) {
-  const auto found = daemon.sent.find(finish.request);
-  if (found == daemon.sent.end()) {
+void LoadModel::Execute(Daemon& daemon, FinishRequest& finish) {
+  const auto found = daemon.pending_requests.find(finish.request);
+  if (found == daemon.pending_requests.end()) {
     // Finished within Submit: its record follows this call.
-    At(now_, [this, &daemon, finish]() mutable { Act(daemon, finish); });
+    Schedule(now_,
+             [this, &daemon, finish]() mutable { Execute(daemon, finish); });
     return;
   }
-  const Sent sent = found->second;
-  daemon.sent.erase(found);
-  const Duration took = now_ - sent.first + 2 * kToCallers;
+  const PendingRequest pending = found->second;
+  daemon.pending_requests.erase(found);
+  const Duration took = now_ - pending.first_sent + 2 * kCallerLatency;
   const bool in_time =
       !finish.error.has_value() && took <= plan_.profile.deadline;
-  if (finish.error.has_value() && sent.resends > 0) {
-    At(now_ + kResendAfter, [this, &daemon, sent] {
-      Submit(daemon, sent.traffic, sent.first, sent.resends - 1);
+  if (finish.error.has_value() && pending.resends_left > 0) {
+    Schedule(now_ + kResendDelay, [this, &daemon, pending] {
+      Submit(daemon, pending.traffic, pending.first_sent,
+             pending.resends_left - 1);
     });
     return;
   }
-  if (sent.first < TimePoint{} + plan_.warm_up) {
+  if (pending.first_sent < TimePoint{} + plan_.warm_up) {
     return;
   }
   const bool refused = finish.error.has_value() &&
                        AnswerFor(*finish.error).work == ExecutionState::kNotRun;
   const auto second =
-      static_cast<std::size_t>(Seconds(sent.first - TimePoint{}));
+      static_cast<std::size_t>(Seconds(pending.first_sent - TimePoint{}));
   const std::string subscriber =
-      sent.traffic.organisation + "/" + sent.traffic.subscriber;
-  for (Tally* tally :
-       {&outcome_.all, &outcome_.organisations[sent.traffic.organisation],
+      pending.traffic.organisation + "/" + pending.traffic.subscriber;
+  for (RequestCounts* tally :
+       {&outcome_.all, &outcome_.organisations[pending.traffic.organisation],
         &outcome_.subscribers[subscriber], &outcome_.seconds.at(second)}) {
     ++tally->sent;
     tally->in_time += in_time ? 1 : 0;
     tally->refused += refused ? 1 : 0;
   }
   if (!finish.error.has_value()) {
-    outcome_.took_ms.push_back(Milliseconds(took));
+    outcome_.latency_ms.push_back(Milliseconds(took));
     outcome_.first_token_ms.push_back(Milliseconds(finish.first_token));
   }
 }
--- a/benchmarks/load_calls.cc
+++ b/benchmarks/load_calls.cc
@@ -1,15 +1,15 @@
 #include <utility>
 
-#include "load_parts.h"
+#include "load_model_internal.h"
 
 namespace gentianroute::bench {
 Duration LoadModel::Latency(const Daemon& daemon,
                             const FakeServer& server) const {
-  return daemon.region == server.record.region ? kWithinRegion
-                                               : kBetweenRegions;
+  return daemon.region == server.record.region ? kIntraRegionLatency
+                                               : kInterRegionLatency;
 }
 
-void LoadModel::Act(Daemon& daemon, StartAttempt& start) {
+void LoadModel::Execute(Daemon& daemon, StartAttempt& start) {
   auto call = std::make_shared<Call>();
   call->daemon = &daemon;
   call->server = servers_.at(start.server->host.name).get();
@@ -23,19 +23,20 @@
   if (now_ >= TimePoint{} + plan_.warm_up) {
     CountCost(daemon, *call, start.stage());
   }
-  At(now_ + Latency(daemon, *call->server), [this, call] { Arrive(call); });
+  Schedule(now_ + Latency(daemon, *call->server),
+           [this, call] { OnArrival(call); });
 }
 
-void LoadModel::Act(Daemon& daemon, CancelAttempt& cancel) {
+void LoadModel::Execute(Daemon& daemon, CancelAttempt& cancel) {
   const auto found = daemon.calls.find(cancel.attempt);
   if (found == daemon.calls.end()) {
     return;
   }
   const std::shared_ptr<Call> call = found->second;
   daemon.calls.erase(found);
-  call->over = true;
+  call->ended = true;
   if (call->running) {
-    Leave(*call->server);
+    ReleaseSlot(*call->server);
   }
 }
 
@@ -50,17 +51,17 @@
   }
   outcome_.billed_bytes += call.bytes;
   outcome_.all.cost += static_cast<std::int64_t>(
-      static_cast<double>(call.bytes) * plan_.micros_per_byte);
+      static_cast<double>(call.bytes) * plan_.micro_euros_per_byte);
 }
 
 void LoadModel::SendFirstToken(const std::shared_ptr<Call>& call) {
-  At(now_ + Latency(*call->daemon, *call->server), [this, call] {
-    if (call->over) {
+  Schedule(now_ + Latency(*call->daemon, *call->server), [this, call] {
+    if (call->ended) {
       return;
     }
     call->daemon->coordinator.OnChunk(now_,
                                       {call->attempt, call->attempt, 0, "a"});
-    Drain(*call->daemon);
+    ExecuteActions(*call->daemon);
   });
 }
 
--- a/benchmarks/load_model.cc
+++ b/benchmarks/load_model.cc
@@ -4,7 +4,7 @@
 #include <utility>
 #include <variant>
 
-#include "load_parts.h"
+#include "load_model_internal.h"
 
 namespace gentianroute::bench {
 LoadModel::LoadModel(Plan plan) : plan_(std::move(plan)), rng_(plan_.seed) {
@@ -15,7 +15,7 @@
 
 LoadModel::~LoadModel() = default;
 
-void LoadModel::At(TimePoint due, std::function<void()> action) {
+void LoadModel::Schedule(TimePoint due, std::function<void()> action) {
   events_.push({due, next_order_++, std::move(action)});
 }
 
@@ -25,7 +25,7 @@
       auto server = std::make_unique<FakeServer>();
       const std::string& region = plan_.regions[i % plan_.regions.size()];
       server->plan = pool;
-      server->slow = i == 0;
+      server->is_slow = i == 0;
       server->record.name = pool.name + "-" + std::to_string(i);
       server->record.pool = pool.name;
       server->record.region = region;
@@ -46,8 +46,9 @@
     std::map<std::string, PathCost> paths;
     for (const std::string& other : plan_.regions) {
       paths[other + "-1"] =
-          other == region ? PathCost{kWithinRegion, 0}
-                          : PathCost{kBetweenRegions, plan_.micros_per_byte};
+          other == region
+              ? PathCost{kIntraRegionLatency, 0}
+              : PathCost{kInterRegionLatency, plan_.micro_euros_per_byte};
     }
     ServerTable::Options options;
     options.region = region;
@@ -63,8 +64,8 @@
 }
 
 Outcome LoadModel::Run() {
-  PublishHosts();
-  Observe();
+  PublishHostList();
+  SampleLoad();
   ShareUsage();
   for (std::size_t i = 0; i < plan_.traffic.size(); ++i) {
     ScheduleArrival(i);
@@ -76,35 +77,35 @@
     event.action();
   }
   outcome_.load_spread /=
-      static_cast<double>(std::max<std::uint64_t>(1, observations_));
+      static_cast<double>(std::max<std::uint64_t>(1, load_samples_));
   return std::move(outcome_);
 }
 
-void LoadModel::Drain(Daemon& daemon) {
+void LoadModel::ExecuteActions(Daemon& daemon) {
   for (auto actions = daemon.coordinator.TakeActions(); !actions.empty();
        actions = daemon.coordinator.TakeActions()) {
     for (Action& action : actions) {
       if (auto* start = std::get_if<StartAttempt>(&action)) {
-        Act(daemon, *start);
+        Execute(daemon, *start);
       } else if (auto* cancel = std::get_if<CancelAttempt>(&action)) {
-        Act(daemon, *cancel);
+        Execute(daemon, *cancel);
       } else if (auto* finish = std::get_if<FinishRequest>(&action)) {
-        Act(daemon, *finish);
+        Execute(daemon, *finish);
       }
     }
   }
   const TimePoint due = daemon.coordinator.NextDue();
-  if (due == kNever || due >= daemon.wake) {
+  if (due == kNever || due >= daemon.next_wakeup) {
     return;
   }
-  daemon.wake = std::max(due, now_);
-  At(daemon.wake, [this, &daemon, wake = daemon.wake] {
-    if (daemon.wake != wake) {
+  daemon.next_wakeup = std::max(due, now_);
+  Schedule(daemon.next_wakeup, [this, &daemon, wake = daemon.next_wakeup] {
+    if (daemon.next_wakeup != wake) {
       return;  // an earlier wake-up has taken its place
     }
-    daemon.wake = kNever;
+    daemon.next_wakeup = kNever;
     daemon.coordinator.Advance(now_);
-    Drain(daemon);
+    ExecuteActions(daemon);
   });
 }
 
--- a/benchmarks/load_model.h
+++ b/benchmarks/load_model.h
@@ -27,7 +27,7 @@
   struct Daemon;
   struct FakeServer;
   struct Call;
-  struct Sent;
+  struct PendingRequest;
   struct Event {
     TimePoint due;
     std::uint64_t order;
@@ -37,34 +37,34 @@
     }
   };
 
-  void At(TimePoint due, std::function<void()> action);
+  void Schedule(TimePoint due, std::function<void()> action);
   void MakeServers();
   void MakeDaemons();
   void ScheduleArrival(std::size_t traffic);
-  double RateNow() const;
+  double CurrentRateFactor() const;
   void Submit(Daemon& daemon,
               const Traffic& traffic,
-              TimePoint first,
-              std::uint32_t resends);
-  void Drain(Daemon& daemon);
-  void Act(Daemon& daemon, StartAttempt& start);
-  void Act(Daemon& daemon, CancelAttempt& cancel);
-  void Act(Daemon& daemon, FinishRequest& finish);
+              TimePoint first_sent,
+              std::uint32_t resends_left);
+  void ExecuteActions(Daemon& daemon);
+  void Execute(Daemon& daemon, StartAttempt& start);
+  void Execute(Daemon& daemon, CancelAttempt& cancel);
+  void Execute(Daemon& daemon, FinishRequest& finish);
   void CountCost(const Daemon& daemon,
                  const Call& call,
                  const StageSpec& stage);
-  void Arrive(const std::shared_ptr<Call>& call);
-  void Serve(const std::shared_ptr<Call>& call);
+  void OnArrival(const std::shared_ptr<Call>& call);
+  void StartService(const std::shared_ptr<Call>& call);
   bool TouchPrefix(FakeServer& server, std::uint64_t prefix);
-  void Publish(FakeServer& server,
-               std::uint64_t added,
-               std::vector<std::uint64_t> removed);
+  void PublishCacheEvent(FakeServer& server,
+                         std::uint64_t added,
+                         std::vector<std::uint64_t> removed);
   void SendFirstToken(const std::shared_ptr<Call>& call);
   void EndCall(const std::shared_ptr<Call>& call, int status);
-  void Leave(FakeServer& server);
-  void PublishHosts();
+  void ReleaseSlot(FakeServer& server);
+  void PublishHostList();
   void ShareUsage();
-  void Observe();
+  void SampleLoad();
   Duration Latency(const Daemon& daemon, const FakeServer& server) const;
   std::uint32_t LaggingLoad(const FakeServer& server) const;
 
@@ -76,7 +76,7 @@
   std::map<std::string, std::unique_ptr<FakeServer>> servers_;
   std::vector<std::unique_ptr<Daemon>> daemons_;
   Outcome outcome_;
-  std::uint64_t observations_ = 0;
+  std::uint64_t load_samples_ = 0;
 };
 
 }  // namespace gentianroute::bench
--- a/benchmarks/load_parts.h
+++ b/benchmarks/load_model_internal.h
@@ -1,5 +1,5 @@
-#ifndef GENTIANROUTE_BENCHMARKS_LOAD_PARTS_H_
-#define GENTIANROUTE_BENCHMARKS_LOAD_PARTS_H_
+#ifndef GENTIANROUTE_BENCHMARKS_LOAD_MODEL_INTERNAL_H_
+#define GENTIANROUTE_BENCHMARKS_LOAD_MODEL_INTERNAL_H_
 
 #include <cstdint>
 #include <deque>
@@ -15,11 +15,11 @@
 
 namespace gentianroute::bench {
 
-constexpr Duration kWithinRegion{500};
-constexpr Duration kBetweenRegions = std::chrono::milliseconds(20);
+constexpr Duration kIntraRegionLatency{500};
+constexpr Duration kInterRegionLatency = std::chrono::milliseconds(20);
 
 /// @brief Claims are not part of the model: no request carries a key.
-class NoClaims : public ClaimCodec {
+class NullClaimCodec : public ClaimCodec {
  public:
   std::string Encode(const Claim& /*claim*/) const override { return {}; }
   std::optional<Claim> Decode(std::string_view /*text*/) const override {
@@ -27,21 +27,21 @@
   }
 };
 
-inline const NoClaims kNoClaims;
+inline const NullClaimCodec kNullClaimCodec;
 
 /// @brief One server of the model: slots, a line, a prefix cache.
 struct LoadModel::FakeServer {
   HostRecord record;
   PoolPlan plan;
-  bool slow = false;
+  bool is_slow = false;
   std::uint32_t running = 0;
-  std::deque<std::shared_ptr<Call>> line;
+  std::deque<std::shared_ptr<Call>> queue;
   std::deque<std::pair<TimePoint, std::uint32_t>> history;
   std::deque<std::uint64_t> cache;  ///< prefixes, the latest used first
   std::uint64_t sequence = 0;
 
   std::uint32_t Load() const {
-    return running + static_cast<std::uint32_t>(line.size());
+    return running + static_cast<std::uint32_t>(queue.size());
   }
 };
 
@@ -53,14 +53,14 @@
   std::size_t bytes;
   std::uint64_t prefix = 0;
   bool running = false;
-  bool over = false;
+  bool ended = false;
 };
 
 /// @brief A request that a caller waits for.
-struct LoadModel::Sent {
+struct LoadModel::PendingRequest {
   Traffic traffic;
-  TimePoint first;
-  std::uint32_t resends;
+  TimePoint first_sent;
+  std::uint32_t resends_left;
 };
 
 /// @brief A region's coordinator and what it decides by.
@@ -71,7 +71,7 @@
          std::map<std::string, PathCost> paths)
       : region(std::move(name)),
         servers(std::move(options), std::move(paths)),
-        claims(ClaimLedger::Options{}, kNoClaims),
+        claims(ClaimLedger::Options{}, kNullClaimCodec),
         coordinator(plan.coordinator, servers, usage, suspects, claims) {}
 
   std::string region;
@@ -81,11 +81,11 @@
   PrefixAffinity caches;
   ClaimLedger claims;
   Coordinator coordinator;
-  std::unordered_map<RequestId, Sent> sent;
+  std::unordered_map<RequestId, PendingRequest> pending_requests;
   std::unordered_map<AttemptId, std::shared_ptr<Call>> calls;
-  TimePoint wake = kNever;
+  TimePoint next_wakeup = kNever;
 };
 
 }  // namespace gentianroute::bench
 
-#endif  // GENTIANROUTE_BENCHMARKS_LOAD_PARTS_H_
+#endif  // GENTIANROUTE_BENCHMARKS_LOAD_MODEL_INTERNAL_H_
--- a/benchmarks/load_outcome.h
+++ b/benchmarks/load_outcome.h
@@ -15,7 +15,7 @@
 }
 
 /// @brief What became of the requests of one organisation or subscriber.
-struct Tally {
+struct RequestCounts {
   std::uint64_t sent = 0;
   std::uint64_t in_time = 0;
   std::uint64_t refused = 0;  ///< before anything ran
@@ -26,12 +26,12 @@
 
 /// @brief What one run measured, after the warm-up.
 struct Outcome {
-  Tally all;
-  std::map<std::string, Tally> organisations;
-  std::map<std::string, Tally> subscribers;
+  RequestCounts all;
+  std::map<std::string, RequestCounts> organisations;
+  std::map<std::string, RequestCounts> subscribers;
   std::map<std::string, std::int64_t> stage_cost;  ///< micro-euros
-  std::vector<Tally> seconds;                      ///< by second of arrival
-  std::vector<double> took_ms;                     ///< of the answered
+  std::vector<RequestCounts> seconds;              ///< by second of arrival
+  std::vector<double> latency_ms;                  ///< of the answered
   std::uint64_t calls = 0;
   std::uint64_t billed_bytes = 0;
   std::uint64_t prefix_served = 0;
--- a/benchmarks/load_plan.h
+++ b/benchmarks/load_plan.h
@@ -15,8 +15,8 @@
   std::string name;
   std::uint32_t servers = 3;  ///< in all, dealt out to the regions in turn
   std::uint32_t slots = 4;    ///< calls that one server works on at a time
-  Duration mean{std::chrono::milliseconds(10)};
-  double slowness = 1;  ///< of the first server only
+  Duration mean_service_time{std::chrono::milliseconds(10)};
+  double slowdown_factor = 1;  ///< of the first server only
   Duration fails_from{0};
   Duration fails_until{0};  ///< equal to `fails_from`: never fails
   bool hangs = false;       ///< when it fails it never answers
@@ -27,7 +27,7 @@
   std::string organisation;
   std::string subscriber;
   double per_second = 1;
-  std::optional<std::size_t> only_at;  ///< one daemon instead of all
+  std::optional<std::size_t> daemon_index;  ///< one daemon instead of all
 };
 
 /// @brief One run of the model.
@@ -42,16 +42,18 @@
   RoutingPolicy routing = RoutingPolicy::kPredictedCompletion;
   Coordinator::Options coordinator;
   Duration report_lag = std::chrono::milliseconds(200);
-  bool bursts = true;   ///< three times the rate in every fifth second
-  double at_first = 0;  ///< share of requests that all go to the first daemon
+  bool bursts = true;  ///< three times the rate in every fifth second
+  double first_daemon_share =
+      0;  ///< share of requests that all go to the first daemon
   bool share_usage = true;  ///< daemons tell each other their heaviest records
   std::uint32_t caller_resends = 0;  ///< by a caller whose request failed
   std::size_t body_bytes = 2000;
-  double micros_per_byte = 0;  ///< billed between regions
-  std::size_t prefixes = 0;    ///< that prompts begin with; 0: none
-  std::size_t cached = 60;     ///< prefixes that one engine can hold
-  bool affinity = true;        ///< false: the baseline that knows no caches
-  double events_lost = 0;      ///< share of cache events
+  double micro_euros_per_byte = 0;  ///< billed between regions
+  std::size_t prefix_count = 0;     ///< that prompts begin with; 0: none
+  std::size_t prefix_cache_capacity =
+      60;                       ///< prefixes that one engine can hold
+  bool affinity = true;         ///< false: the baseline that knows no caches
+  double event_loss_ratio = 0;  ///< share of cache events
 };
 
 }  // namespace gentianroute::bench
--- a/benchmarks/load_reports.cc
+++ b/benchmarks/load_reports.cc
@@ -1,7 +1,7 @@
 #include <algorithm>
 #include <utility>
 
-#include "load_parts.h"
+#include "load_model_internal.h"
 
 namespace gentianroute::bench {
 namespace {
@@ -9,9 +9,9 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-constexpr Duration kHostListEvery = seconds(1);
-constexpr Duration kObserveEvery = milliseconds(100);
-constexpr std::size_t kSharedRecords = 64;
+constexpr Duration kHostListInterval = seconds(1);
+constexpr Duration kLoadSampleInterval = milliseconds(100);
+constexpr std::size_t kSharedUsageRecords = 64;
 
 }  // namespace
 
@@ -27,7 +27,7 @@
   return load;
 }
 
-void LoadModel::PublishHosts() {
+void LoadModel::PublishHostList() {
   std::vector<HostRecord> hosts;
   for (const auto& [name, server] : servers_) {
     hosts.push_back(server->record);
@@ -37,16 +37,16 @@
   for (const auto& daemon : daemons_) {
     daemon->servers.ApplyHostList(now_, hosts);
     daemon->coordinator.OnServersChanged(now_);
-    Drain(*daemon);
+    ExecuteActions(*daemon);
   }
   if (now_ < TimePoint{} + plan_.length) {
-    At(now_ + kHostListEvery, [this] { PublishHosts(); });
+    Schedule(now_ + kHostListInterval, [this] { PublishHostList(); });
   }
 }
 
 void LoadModel::ShareUsage() {
   for (const auto& from : daemons_) {
-    const auto heaviest = from->usage.Heaviest(now_, kSharedRecords);
+    const auto heaviest = from->usage.Heaviest(now_, kSharedUsageRecords);
     for (const auto& to : daemons_) {
       if (to != from && plan_.share_usage) {
         to->usage.SetRemote(now_, from->region, heaviest);
@@ -54,11 +54,11 @@
     }
   }
   if (now_ < TimePoint{} + plan_.length) {
-    At(now_ + seconds(1), [this] { ShareUsage(); });
+    Schedule(now_ + seconds(1), [this] { ShareUsage(); });
   }
 }
 
-void LoadModel::Observe() {
+void LoadModel::SampleLoad() {
   std::map<std::string, std::pair<std::uint32_t, std::uint32_t>> extremes;
   for (const auto& [name, server] : servers_) {
     const std::uint32_t load = server->Load();
@@ -75,9 +75,9 @@
   for (const auto& [pool, range] : extremes) {
     outcome_.load_spread += range.second - range.first;
   }
-  ++observations_;
+  ++load_samples_;
   if (now_ < TimePoint{} + plan_.length) {
-    At(now_ + kObserveEvery, [this] { Observe(); });
+    Schedule(now_ + kLoadSampleInterval, [this] { SampleLoad(); });
   }
 }
 
--- a/benchmarks/load_servers.cc
+++ b/benchmarks/load_servers.cc
@@ -2,24 +2,24 @@
 #include <random>
 #include <utility>
 
-#include "load_parts.h"
+#include "load_model_internal.h"
 
 namespace gentianroute::bench {
 namespace {
 
 using std::chrono::milliseconds;
 
-constexpr Duration kEventsLate = milliseconds(500);
+constexpr Duration kCacheEventDelay = milliseconds(500);
 /// Share of an engine's mean time that reading an uncached prefix takes.
 constexpr double kPrefillShare = 0.4;
-constexpr Duration kFailsAfter = milliseconds(5);
+constexpr Duration kFailureDelay = milliseconds(5);
 constexpr int kStatusOk = 200;
 constexpr int kStatusFailed = 500;
 
 }  // namespace
 
-void LoadModel::Arrive(const std::shared_ptr<Call>& call) {
-  if (call->over) {
+void LoadModel::OnArrival(const std::shared_ptr<Call>& call) {
+  if (call->ended) {
     return;
   }
   FakeServer& server = *call->server;
@@ -29,40 +29,42 @@
     if (server.plan.hangs) {
       return;
     }
-    At(now_ + kFailsAfter, [this, call] { EndCall(call, kStatusFailed); });
+    Schedule(now_ + kFailureDelay,
+             [this, call] { EndCall(call, kStatusFailed); });
     return;
   }
   if (server.running >= server.record.slots) {
-    server.line.push_back(call);
+    server.queue.push_back(call);
     return;
   }
-  Serve(call);
+  StartService(call);
 }
 
-void LoadModel::Serve(const std::shared_ptr<Call>& call) {
+void LoadModel::StartService(const std::shared_ptr<Call>& call) {
   FakeServer& server = *call->server;
   ++server.running;
   call->running = true;
   const double spread = std::exponential_distribution<double>(1)(rng_);
-  const double mean =
-      Seconds(server.plan.mean) * (server.slow ? server.plan.slowness : 1);
+  const double mean = Seconds(server.plan.mean_service_time) *
+                      (server.is_slow ? server.plan.slowdown_factor : 1);
   double took = mean * (0.5 + 0.5 * std::min(spread, 5.0));
   if (call->prefix != 0) {
     const double prefill = kPrefillShare * mean;
     const bool hit = TouchPrefix(server, call->prefix);
     took += hit ? -std::min(prefill, took) : 0;
     const double first = hit ? 0 : std::min(prefill, took);
-    At(now_ + Duration(static_cast<std::int64_t>(first * 1e6)),
-       [this, call] { SendFirstToken(call); });
+    Schedule(now_ + Duration(static_cast<std::int64_t>(first * 1e6)),
+             [this, call] { SendFirstToken(call); });
   }
-  At(now_ + Duration(static_cast<std::int64_t>(took * 1e6)), [this, call] {
-    if (call->over) {
-      return;
-    }
-    Leave(*call->server);
-    call->running = false;
-    EndCall(call, kStatusOk);
-  });
+  Schedule(now_ + Duration(static_cast<std::int64_t>(took * 1e6)),
+           [this, call] {
+             if (call->ended) {
+               return;
+             }
+             ReleaseSlot(*call->server);
+             call->running = false;
+             EndCall(call, kStatusOk);
+           });
 }
 
 bool LoadModel::TouchPrefix(FakeServer& server, std::uint64_t prefix) {
@@ -75,39 +77,40 @@
   }
   server.cache.push_front(prefix);
   std::vector<std::uint64_t> removed;
-  if (server.cache.size() > plan_.cached) {
+  if (server.cache.size() > plan_.prefix_cache_capacity) {
     removed.push_back(server.cache.back());
     server.cache.pop_back();
   }
   if (!hit) {
-    Publish(server, prefix, std::move(removed));
+    PublishCacheEvent(server, prefix, std::move(removed));
   }
   return hit;
 }
 
-void LoadModel::Publish(FakeServer& server,
-                        std::uint64_t added,
-                        std::vector<std::uint64_t> removed) {
+void LoadModel::PublishCacheEvent(FakeServer& server,
+                                  std::uint64_t added,
+                                  std::vector<std::uint64_t> removed) {
   ++server.sequence;
-  if (std::uniform_real_distribution<double>(0, 1)(rng_) < plan_.events_lost) {
+  if (std::uniform_real_distribution<double>(0, 1)(rng_) <
+      plan_.event_loss_ratio) {
     return;
   }
-  At(now_ + kEventsLate,
-     [this, name = server.record.name, added, removed = std::move(removed),
-      sequence = server.sequence] {
-       for (const auto& daemon : daemons_) {
-         daemon->caches.OnEvent({name, 1, sequence, {&added, 1}, removed});
-       }
-     });
+  Schedule(now_ + kCacheEventDelay, [this, name = server.record.name, added,
+                                     removed = std::move(removed),
+                                     sequence = server.sequence] {
+    for (const auto& daemon : daemons_) {
+      daemon->caches.OnEvent({name, 1, sequence, {&added, 1}, removed});
+    }
+  });
 }
 
-void LoadModel::Leave(FakeServer& server) {
+void LoadModel::ReleaseSlot(FakeServer& server) {
   --server.running;
-  while (!server.line.empty()) {
-    const std::shared_ptr<Call> next = server.line.front();
-    server.line.pop_front();
-    if (!next->over) {
-      Serve(next);
+  while (!server.queue.empty()) {
+    const std::shared_ptr<Call> next = server.queue.front();
+    server.queue.pop_front();
+    if (!next->ended) {
+      StartService(next);
       return;
     }
   }
@@ -115,22 +118,23 @@
 
 void LoadModel::EndCall(const std::shared_ptr<Call>& call, int status) {
   const std::uint32_t load = LaggingLoad(*call->server);
-  At(now_ + Latency(*call->daemon, *call->server), [this, call, status, load] {
-    if (call->over) {
-      return;
-    }
-    call->over = true;
-    call->daemon->calls.erase(call->attempt);
-    AttemptAnswer answer;
-    answer.attempt = call->attempt;
-    answer.echoed = call->attempt;
-    answer.status = status;
-    answer.body = "{}";
-    answer.load = load;
-    answer.has_load = true;
-    call->daemon->coordinator.OnAnswer(now_, std::move(answer));
-    Drain(*call->daemon);
-  });
+  Schedule(now_ + Latency(*call->daemon, *call->server),
+           [this, call, status, load] {
+             if (call->ended) {
+               return;
+             }
+             call->ended = true;
+             call->daemon->calls.erase(call->attempt);
+             AttemptAnswer answer;
+             answer.attempt = call->attempt;
+             answer.echoed = call->attempt;
+             answer.status = status;
+             answer.body = "{}";
+             answer.load = load;
+             answer.has_load = true;
+             call->daemon->coordinator.OnAnswer(now_, std::move(answer));
+             ExecuteActions(*call->daemon);
+           });
 }
 
 }  // namespace gentianroute::bench
--- a/benchmarks/policy_bench.cc
+++ b/benchmarks/policy_bench.cc
@@ -11,7 +11,7 @@
 int RunScenarios(const std::string& name,
                  const ScenarioOptions& options,
                  bool json) {
-  bool broken = false;
+  bool failed = false;
   for (const Scenario& scenario : AllScenarios()) {
     if (name != "all" && name != scenario.name) {
       continue;
@@ -21,9 +21,9 @@
     report.seed = options.seed;
     scenario.run(options, report);
     json ? report.WriteJson(std::cout) : report.WriteText(std::cout);
-    broken = broken || !report.broken.empty();
+    failed = failed || !report.failures.empty();
   }
-  return broken ? 1 : 0;
+  return failed ? 1 : 0;
 }
 
 }  // namespace
--- a/benchmarks/report.cc
+++ b/benchmarks/report.cc
@@ -8,13 +8,13 @@
 namespace gentianroute::bench {
 namespace {
 
-std::string TextOf(const Row& value) {
+std::string CellText(const Row& value) {
   return value.is_string() ? value.get<std::string>() : value.dump();
 }
 
 }  // namespace
 
-double Rounded(double value) {
+double RoundToThousandths(double value) {
   return std::round(value * 1000) / 1000;
 }
 
@@ -26,7 +26,7 @@
   for (const auto& [name, value] : rows.front().items()) {
     std::size_t width = name.size();
     for (const Row& row : rows) {
-      width = std::max(width, TextOf(row.at(name)).size());
+      width = std::max(width, CellText(row.at(name)).size());
     }
     out << "| " << std::left << std::setw(static_cast<int>(width)) << name
         << " ";
@@ -39,11 +39,11 @@
   out << "|\n";
   for (const Row& row : rows) {
     for (const auto& [name, value] : row.items()) {
-      out << "| " << TextOf(value) << " ";
+      out << "| " << CellText(value) << " ";
     }
     out << "|\n";
   }
-  for (const std::string& what : broken) {
+  for (const std::string& what : failures) {
     out << "BROKEN: " << what << "\n";
   }
 }
@@ -53,7 +53,7 @@
   json["scenario"] = scenario;
   json["seed"] = seed;
   json["rows"] = rows;
-  json["broken"] = broken;
+  json["broken"] = failures;
   out << json.dump(2) << "\n";
 }
 
--- a/benchmarks/report.h
+++ b/benchmarks/report.h
@@ -17,11 +17,11 @@
   std::string scenario;
   std::uint64_t seed = 0;
   std::vector<Row> rows;
-  std::vector<std::string> broken;
+  std::vector<std::string> failures;
 
   void Expect(bool holds, std::string what) {
     if (!holds) {
-      broken.push_back(std::move(what));
+      failures.push_back(std::move(what));
     }
   }
   void WriteText(std::ostream& out) const;
@@ -29,7 +29,7 @@
 };
 
 /// @brief A number with three decimals at most.
-double Rounded(double value);
+double RoundToThousandths(double value);
 
 }  // namespace gentianroute::bench
 
--- a/benchmarks/scenarios.cc
+++ b/benchmarks/scenarios.cc
@@ -14,7 +14,7 @@
 
 constexpr double kCapacity = 240;  ///< requests a second, by the engines
 
-StageSpec Stage(const char* name, Duration expected, std::int64_t cost) {
+StageSpec MakeStage(const char* name, Duration expected, std::int64_t cost) {
   StageSpec stage;
   stage.name = name;
   stage.pool = name;
@@ -28,10 +28,10 @@
   plan.seed = options.seed;
   plan.length = options.quick ? seconds(12) : seconds(40);
   plan.profile.deadline = seconds(2);
-  plan.profile.stages = {Stage("encode", milliseconds(20), 10),
-                         Stage("retrieve", milliseconds(25), 15),
-                         Stage("rerank", milliseconds(25), 20),
-                         Stage("generate", milliseconds(200), 400)};
+  plan.profile.stages = {MakeStage("encode", milliseconds(20), 10),
+                         MakeStage("retrieve", milliseconds(25), 15),
+                         MakeStage("rerank", milliseconds(25), 20),
+                         MakeStage("generate", milliseconds(200), 400)};
   plan.pools = {{"encode", 3, 4, milliseconds(20)},
                 {"retrieve", 3, 4, milliseconds(25)},
                 {"rerank", 3, 4, milliseconds(25)},
@@ -46,32 +46,36 @@
   }
 }
 
-Row Summary(const Outcome& outcome) {
+Row Summarise(const Outcome& outcome) {
   Row row;
-  row["attainment"] = Rounded(outcome.all.Attainment());
-  row["refused"] = Rounded(Ratio(outcome.all.refused, outcome.all.sent));
-  row["p50_ms"] = Rounded(Outcome::Percentile(outcome.took_ms, 0.5));
-  row["p99_ms"] = Rounded(Outcome::Percentile(outcome.took_ms, 0.99));
-  row["spread"] = Rounded(outcome.load_spread);
-  row["cost_per_answer"] = Rounded(outcome.CostPerAnswer());
+  row["attainment"] = RoundToThousandths(outcome.all.Attainment());
+  row["refused"] =
+      RoundToThousandths(Ratio(outcome.all.refused, outcome.all.sent));
+  row["p50_ms"] =
+      RoundToThousandths(Outcome::Percentile(outcome.latency_ms, 0.5));
+  row["p99_ms"] =
+      RoundToThousandths(Outcome::Percentile(outcome.latency_ms, 0.99));
+  row["spread"] = RoundToThousandths(outcome.load_spread);
+  row["cost_per_answer"] = RoundToThousandths(outcome.CostPerAnswer());
   return row;
 }
 
-Row Joined(Row row, const Row& more) {
+Row Merge(Row row, const Row& more) {
   row.update(more);
   return row;
 }
 
 // --- Load and routing -------------------------------------------------------
 
-struct Trouble {
+struct Fault {
   const char* name;
   void (*apply)(Plan& plan);
 };
 
-constexpr std::array<Trouble, 4> kTroubles = {{
+constexpr std::array<Fault, 4> kFaults = {{
     {"bursts", [](Plan& /*plan*/) {}},
-    {"one slow engine", [](Plan& plan) { plan.pools.back().slowness = 8; }},
+    {"one slow engine",
+     [](Plan& plan) { plan.pools.back().slowdown_factor = 8; }},
     {"rerank fails 5 s",
      [](Plan& plan) {
        plan.pools[2].fails_from = seconds(5);
@@ -80,12 +84,12 @@
     {"reports 3 s late", [](Plan& plan) { plan.report_lag = seconds(3); }},
 }};
 
-struct Routing {
+struct RoutingVariant {
   const char* name;
   RoutingPolicy policy;
 };
 
-constexpr std::array<Routing, 3> kRoutings = {
+constexpr std::array<RoutingVariant, 3> kRoutingVariants = {
     {{"predicted", RoutingPolicy::kPredictedCompletion},
      {"random", RoutingPolicy::kRandom},
      {"least reported", RoutingPolicy::kLeastReportedLoad}}};
@@ -96,24 +100,24 @@
                                         : std::vector<double>{0.5, 0.8, 1, 1.5};
   for (const double load : loads) {
     std::array<double, 3> attained{};  // mean over the troubles
-    for (const Trouble& trouble : kTroubles) {
-      for (std::size_t i = 0; i < kRoutings.size(); ++i) {
+    for (const Fault& fault : kFaults) {
+      for (std::size_t i = 0; i < kRoutingVariants.size(); ++i) {
         Plan plan = BasePlan({options.seed});
-        plan.routing = kRoutings[i].policy;
+        plan.routing = kRoutingVariants[i].policy;
         AddEqualTraffic(plan, load);
-        trouble.apply(plan);
+        fault.apply(plan);
         const Outcome outcome = LoadModel(plan).Run();
-        attained[i] += outcome.all.Attainment() / kTroubles.size();
+        attained[i] += outcome.all.Attainment() / kFaults.size();
         Row row;
         row["load"] = load;
-        row["trouble"] = trouble.name;
-        row["routing"] = kRoutings[i].name;
-        report.rows.push_back(Joined(row, Summary(outcome)));
+        row["trouble"] = fault.name;
+        row["routing"] = kRoutingVariants[i].name;
+        report.rows.push_back(Merge(row, Summarise(outcome)));
         for (const auto& [stage, cost] : outcome.stage_cost) {
           report.rows.back()["cost_" + stage] =
-              Rounded(static_cast<double>(cost) /
-                      static_cast<double>(
-                          std::max<std::uint64_t>(1, outcome.all.in_time)));
+              RoundToThousandths(static_cast<double>(cost) /
+                                 static_cast<double>(std::max<std::uint64_t>(
+                                     1, outcome.all.in_time)));
         }
       }
     }
@@ -126,38 +130,40 @@
 
 /// Others send 60 % of the capacity; the heavy one sends 20 times its share.
 void RunHeavy(const ScenarioOptions& options, Report& report) {
-  constexpr double kShare = 0.6 / 5 * kCapacity;
-  for (const bool inside : {false, true}) {
+  constexpr double kFairShare = 0.6 / 5 * kCapacity;
+  for (const bool same_organisation : {false, true}) {
     double baseline = 0;
     for (const bool fair : {false, true}) {
       Plan plan = BasePlan(options);
       plan.coordinator.queue_order =
           fair ? QueueOrder::kFair : QueueOrder::kArrival;
       for (int i = 0; i < 5; ++i) {
-        const std::string name = inside ? "one" : "org" + std::to_string(i);
+        const std::string name =
+            same_organisation ? "one" : "org" + std::to_string(i);
         plan.traffic.push_back(
-            {name, "s" + std::to_string(i), kShare * (i == 0 ? 20 : 1)});
+            {name, "s" + std::to_string(i), kFairShare * (i == 0 ? 20 : 1)});
       }
       const Outcome outcome = LoadModel(plan).Run();
-      Tally others;
-      Tally heavy;
+      RequestCounts others;
+      RequestCounts heavy;
       for (const auto& [name, tally] : outcome.subscribers) {
-        Tally& sum = name.ends_with("s0") ? heavy : others;
+        RequestCounts& sum = name.ends_with("s0") ? heavy : others;
         sum.sent += tally.sent;
         sum.in_time += tally.in_time;
       }
       const double measured = Seconds(plan.length - plan.warm_up);
-      const auto per_second = [measured](const Tally& tally) {
+      const auto per_second = [measured](const RequestCounts& tally) {
         return static_cast<double>(tally.in_time) / measured;
       };
       Row row;
-      row["heavy"] = inside ? "subscriber" : "organisation";
+      row["heavy"] = same_organisation ? "subscriber" : "organisation";
       row["order"] = fair ? "fair" : "arrival";
-      row["others_attainment"] = Rounded(others.Attainment());
-      row["heavy_attainment"] = Rounded(heavy.Attainment());
-      row["others_per_s"] = Rounded(per_second(others));
-      row["heavy_per_s"] = Rounded(per_second(heavy));
-      row["total_of_capacity"] = Rounded(per_second(outcome.all) / kCapacity);
+      row["others_attainment"] = RoundToThousandths(others.Attainment());
+      row["heavy_attainment"] = RoundToThousandths(heavy.Attainment());
+      row["others_per_s"] = RoundToThousandths(per_second(others));
+      row["heavy_per_s"] = RoundToThousandths(per_second(heavy));
+      row["total_of_capacity"] =
+          RoundToThousandths(per_second(outcome.all) / kCapacity);
       report.rows.push_back(row);
       if (fair) {
         report.Expect(others.Attainment() >= baseline,
@@ -184,13 +190,13 @@
                     {"heavy", "s", 1.8 * kCapacity, 1},
                     {"heavy", "s", 1.8 * kCapacity, 2}};
     const Outcome outcome = LoadModel(plan).Run();
-    const Tally& light = outcome.organisations.at("light");
+    const RequestCounts& light = outcome.organisations.at("light");
     Row row;
     row["records"] = share ? "shared" : "own only";
-    row["light_attainment"] = Rounded(light.Attainment());
+    row["light_attainment"] = RoundToThousandths(light.Attainment());
     row["heavy_attainment"] =
-        Rounded(outcome.organisations.at("heavy").Attainment());
-    report.rows.push_back(Joined(row, Summary(outcome)));
+        RoundToThousandths(outcome.organisations.at("heavy").Attainment());
+    report.rows.push_back(Merge(row, Summarise(outcome)));
     report.Expect(light.Attainment() >= baseline,
                   "shared records are no worse for the light one");
     baseline = light.Attainment();
@@ -201,37 +207,41 @@
 
 /// Seconds after the fault until three seconds in a row are as good as before.
 double SecondsToRecover(const Outcome& outcome, std::size_t from) {
-  constexpr double kGood = 0.9;
+  constexpr double kRecoveredAttainment = 0.9;
   for (std::size_t i = from; i + 3 < outcome.seconds.size(); ++i) {
-    const bool good = std::all_of(
+    const bool recovered = std::all_of(
         outcome.seconds.begin() + static_cast<std::ptrdiff_t>(i),
         outcome.seconds.begin() + static_cast<std::ptrdiff_t>(i + 3),
-        [](const Tally& tally) { return tally.Attainment() >= kGood; });
-    if (good) {
+        [](const RequestCounts& tally) {
+          return tally.Attainment() >= kRecoveredAttainment;
+        });
+    if (recovered) {
       return static_cast<double>(i - from);
     }
   }
   return -1;
 }
 
-struct Restraint {
+struct RetryControl {
   const char* name;
   bool budget;
   bool refuse_early;
 };
 
-constexpr std::array<Restraint, 4> kRestraints = {
+constexpr std::array<RetryControl, 4> kRetryControls = {
     {{"neither", false, false},
      {"budget", true, false},
      {"early refusal", false, true},
      {"both", true, true}}};
 
-void RunRetriesOf(const ScenarioOptions& options, bool hangs, Report& report) {
+void RunRetriesWithFault(const ScenarioOptions& options,
+                         bool hangs,
+                         Report& report) {
   constexpr std::size_t kFaultEnd = 15;
   std::vector<double> recovered;
   std::vector<double> attainment;
   std::vector<double> calls;
-  for (const Restraint& restraint : kRestraints) {
+  for (const RetryControl& control : kRetryControls) {
     Plan plan = BasePlan(options);
     plan.length = seconds(40);
     plan.bursts = false;
@@ -242,8 +252,8 @@
     if (hangs) {
       plan.profile.stages[2].first_byte_timeout = milliseconds(300);
     }
-    plan.coordinator.refuse_early = restraint.refuse_early;
-    if (!restraint.budget) {
+    plan.coordinator.refuse_early = control.refuse_early;
+    if (!control.budget) {
       plan.coordinator.retry_budget = {1e9, 1e9};
     }
     AddEqualTraffic(plan, 0.9);
@@ -252,15 +262,15 @@
     calls.push_back(outcome.CallsPerRequest());
     Row row;
     row["fault"] = hangs ? "hangs" : "fails";
-    row["restraint"] = restraint.name;
-    row["calls_per_request"] = Rounded(calls.back());
-    row["rerank_calls_per_request"] =
-        Rounded(static_cast<double>(outcome.stage_cost.at("rerank")) /
-                static_cast<double>(plan.profile.stages[2].cost_per_call) /
-                static_cast<double>(outcome.all.sent));
+    row["restraint"] = control.name;
+    row["calls_per_request"] = RoundToThousandths(calls.back());
+    row["rerank_calls_per_request"] = RoundToThousandths(
+        static_cast<double>(outcome.stage_cost.at("rerank")) /
+        static_cast<double>(plan.profile.stages[2].cost_per_call) /
+        static_cast<double>(outcome.all.sent));
     row["recovers_after_s"] = recovered.back();
     attainment.push_back(outcome.all.Attainment());
-    report.rows.push_back(Joined(row, Summary(outcome)));
+    report.rows.push_back(Merge(row, Summarise(outcome)));
   }
   report.Expect(calls[3] <= calls[0], "both restraints make no more calls");
   report.Expect(
@@ -272,19 +282,19 @@
 
 void RunRetries(const ScenarioOptions& options, Report& report) {
   for (const bool hangs : {false, true}) {
-    RunRetriesOf(options, hangs, report);
+    RunRetriesWithFault(options, hangs, report);
   }
 }
 
 // --- Prefix affinity --------------------------------------------------------
 
-struct Affinity {
+struct AffinityVariant {
   const char* name;
   bool on;
-  double events_lost;
+  double event_loss_ratio;
 };
 
-constexpr std::array<Affinity, 4> kAffinities = {
+constexpr std::array<AffinityVariant, 4> kAffinityVariants = {
     {{"off", false, 0},
      {"on", true, 0},
      {"on, 2 % of events lost", true, 0.02},
@@ -292,26 +302,26 @@
 
 void RunPrefix(const ScenarioOptions& options, Report& report) {
   std::vector<double> ratios;
-  for (const Affinity& affinity : kAffinities) {
+  for (const AffinityVariant& affinity : kAffinityVariants) {
     Plan plan = BasePlan(options);
     plan.profile.stages.back().streams = true;
-    plan.prefixes = 600;
+    plan.prefix_count = 600;
     plan.affinity = affinity.on;
-    plan.events_lost = affinity.events_lost;
-    plan.micros_per_byte = 1e-4;
+    plan.event_loss_ratio = affinity.event_loss_ratio;
+    plan.micro_euros_per_byte = 1e-4;
     AddEqualTraffic(plan, 0.7);
     const Outcome outcome = LoadModel(plan).Run();
     ratios.push_back(Ratio(outcome.prefix_hits, outcome.prefix_served));
     Row row;
     row["affinity"] = affinity.name;
-    row["hit_ratio"] = Rounded(ratios.back());
+    row["hit_ratio"] = RoundToThousandths(ratios.back());
     row["first_token_p50_ms"] =
-        Rounded(Outcome::Percentile(outcome.first_token_ms, 0.5));
+        RoundToThousandths(Outcome::Percentile(outcome.first_token_ms, 0.5));
     row["first_token_p99_ms"] =
-        Rounded(Outcome::Percentile(outcome.first_token_ms, 0.99));
+        RoundToThousandths(Outcome::Percentile(outcome.first_token_ms, 0.99));
     row["billed_bytes_per_answer"] =
-        Rounded(Ratio(outcome.billed_bytes, outcome.all.in_time));
-    report.rows.push_back(Joined(row, Summary(outcome)));
+        RoundToThousandths(Ratio(outcome.billed_bytes, outcome.all.in_time));
+    report.rows.push_back(Merge(row, Summarise(outcome)));
   }
   report.Expect(ratios[1] > ratios[0], "affinity finds more prefixes cached");
   report.Expect(ratios[3] >= ratios[0] - 0.02, "gaps do no harm");
@@ -324,12 +334,12 @@
 struct Deployment {
   const char* name;
   std::uint32_t engines;
-  const char* last;  ///< stage whose calls may not be repeated
+  const char* last_stage;  ///< stage whose calls may not be repeated
   Duration deadline;
   std::size_t body_bytes;
   double load;
   std::vector<std::string> regions;
-  Objective own;
+  Objective configured_objective;
 };
 
 std::vector<Deployment> Deployments() {
@@ -351,58 +361,60 @@
            Objective::kAttainment}};
 }
 
-Plan PlanOf(const Deployment& deployment, const ScenarioOptions& options) {
+Plan MakePlan(const Deployment& deployment, const ScenarioOptions& options) {
   Plan plan = BasePlan(options);
   plan.regions = deployment.regions;
   plan.pools.back().servers = deployment.engines;
-  plan.pools.push_back({deployment.last, 3, 4, milliseconds(25)});
-  StageSpec last = Stage(deployment.last, milliseconds(25), 5);
+  plan.pools.push_back({deployment.last_stage, 3, 4, milliseconds(25)});
+  StageSpec last = MakeStage(deployment.last_stage, milliseconds(25), 5);
   last.repeatable = false;
   plan.profile.stages.push_back(last);
   plan.profile.deadline = deployment.deadline;
   plan.body_bytes = deployment.body_bytes;
-  plan.at_first = 0.4;          // the bell, or the morning queue, of one region
-  plan.micros_per_byte = 1e-4;  // 0.10 euros a gigabyte
+  plan.first_daemon_share =
+      0.4;  // the bell, or the morning queue, of one region
+  plan.micro_euros_per_byte = 1e-4;  // 0.10 euros a gigabyte
   AddEqualTraffic(plan, deployment.load * deployment.engines / 12);
   return plan;
 }
 
-struct Spread {
+struct TrafficDistribution {
   const char* name;
-  double at_first;
+  double first_daemon_share;
 };
 
 /// The bell, or the morning queue, of one region.
-constexpr std::array<Spread, 2> kSpreads = {
+constexpr std::array<TrafficDistribution, 2> kTrafficDistributions = {
     {{"even", 0}, {"one region busy", 0.4}}};
 
 void RunProfile(const ScenarioOptions& options,
                 const Deployment& deployment,
-                const Spread& spread,
+                const TrafficDistribution& distribution,
                 Report& report) {
   std::array<Outcome, 2> outcomes;
   for (const Objective objective : {Objective::kAttainment, Objective::kCost}) {
-    Plan plan = PlanOf(deployment, options);
-    plan.at_first = spread.at_first;
+    Plan plan = MakePlan(deployment, options);
+    plan.first_daemon_share = distribution.first_daemon_share;
     plan.profile.objective = objective;
     Outcome& outcome = outcomes[static_cast<std::size_t>(objective)];
     outcome = LoadModel(plan).Run();
     Row row;
     row["deployment"] = deployment.name;
-    row["requests"] = spread.name;
+    row["requests"] = distribution.name;
     row["objective"] = objective == Objective::kCost ? "cost" : "attainment";
-    row["its_own"] = objective == deployment.own;
+    row["its_own"] = objective == deployment.configured_objective;
     row["billed_bytes_per_answer"] =
-        Rounded(Ratio(outcome.billed_bytes, outcome.all.in_time));
-    report.rows.push_back(Joined(row, Summary(outcome)));
+        RoundToThousandths(Ratio(outcome.billed_bytes, outcome.all.in_time));
+    report.rows.push_back(Merge(row, Summarise(outcome)));
   }
   const auto& [attainment, cost] = outcomes;
   // With a deadline that leaves no time to wait both objectives move alike.
-  const double share = deployment.own == Objective::kCost ? 0.5 : 1.1;
+  const double share =
+      deployment.configured_objective == Objective::kCost ? 0.5 : 1.1;
   report.Expect(static_cast<double>(cost.billed_bytes) <=
                     share * static_cast<double>(attainment.billed_bytes),
                 "the thrifty profile moves fewer bytes between regions");
-  report.Expect(deployment.own != Objective::kCost ||
+  report.Expect(deployment.configured_objective != Objective::kCost ||
                     cost.CostPerAnswer() <= attainment.CostPerAnswer(),
                 "the thrifty profile spends no more per answer");
   report.Expect(attainment.all.Attainment() >= cost.all.Attainment() - 0.02,
@@ -411,8 +423,8 @@
 
 void RunProfiles(const ScenarioOptions& options, Report& report) {
   for (const Deployment& deployment : Deployments()) {
-    for (const Spread& spread : kSpreads) {
-      RunProfile({options.seed}, deployment, spread, report);
+    for (const TrafficDistribution& distribution : kTrafficDistributions) {
+      RunProfile({options.seed}, deployment, distribution, report);
     }
   }
 }
