--- a/benchmarks/capacity/capacity_bench.cc
+++ b/benchmarks/capacity/capacity_bench.cc
@@ -202,9 +202,9 @@
                         follower.Apply(std::span(&change, 1));
                       })});
   }
-  constexpr double kProfiles = 12;
+  constexpr double kTargetProfiles = 12;
   return FitLine("take a revision over", "profiles in force", "us",
-                 std::move(points), kProfiles);
+                 std::move(points), kTargetProfiles);
 }
 
 /// A table service that commits at once.
@@ -216,14 +216,14 @@
   options.batch_window = Duration{0};
   ClaimLedger ledger(options, codec);
   std::uint64_t version = 1;
-  const auto settle = [&](TimePoint now) {
-    for (const ClaimOperation& step : ledger.TakeOperations()) {
+  const auto commit_operations = [&](TimePoint now) {
+    for (const ClaimOperation& operation : ledger.TakeOperations()) {
       TransactResult result;
       result.status = TableStatus::kCommitted;
-      for (std::size_t i = 0; i < step.transaction.writes.size(); ++i) {
+      for (std::size_t i = 0; i < operation.transaction.writes.size(); ++i) {
         result.versions.push_back(version++);
       }
-      ledger.OnTransacted(now, step.id, result);
+      ledger.OnTransacted(now, operation.id, result);
     }
   };
   const std::string answer(200, 'a');
@@ -234,11 +234,11 @@
           ledger.Begin(now, 0, RequestId{i + 1}, "organisation",
                        "key-" + std::to_string(i), "digest");
       ledger.Advance(now);
-      settle(now);
+      commit_operations(now);
       ledger.TakeResults();
       ledger.Settle(now, token, ClaimState::kAnswered, 200, answer);
       ledger.Advance(now);
-      settle(now);
+      commit_operations(now);
     }
   });
   return kMicros * seconds;
@@ -249,9 +249,9 @@
   for (const std::size_t size : {1'000U, 5'000U, 20'000U}) {
     points.push_back({static_cast<double>(size), ClaimCycleMicros(size)});
   }
-  constexpr double kThousand = 1'000;
+  constexpr double kTargetClaims = 1'000;
   return FitLine("claims made and settled", "claims", "us", std::move(points),
-                 kThousand);
+                 kTargetClaims);
 }
 
 /// The slowest of some seeds, since "everywhere" is as late as the last one.
--- a/benchmarks/capacity/gossip_simulation.cc
+++ b/benchmarks/capacity/gossip_simulation.cc
@@ -63,8 +63,8 @@
   void Schedule(TimePoint due, std::function<void()> run) {
     events_.push({due, next_order_++, std::move(run)});
   }
-  void ScheduleAfter(int paths, std::function<void()> run) {
-    Schedule(now_ + paths * kOneWayLatency, std::move(run));
+  void ScheduleAfter(int hops, std::function<void()> run) {
+    Schedule(now_ + hops * kOneWayLatency, std::move(run));
   }
 
   void RunPeriod(std::size_t daemon) {
@@ -82,14 +82,14 @@
 
   /// Digests cross; who is behind asks the other for what follows.
   void Exchange(std::size_t from, std::size_t to) {
-    const std::uint64_t sent = followers_[from]->revision();
-    ScheduleAfter(1, [this, from, to, sent] {
-      const std::uint64_t answered = followers_[to]->revision();
-      if (sent > answered) {
+    const std::uint64_t sent_revision = followers_[from]->revision();
+    ScheduleAfter(1, [this, from, to, sent_revision] {
+      const std::uint64_t peer_revision = followers_[to]->revision();
+      if (sent_revision > peer_revision) {
         Fetch(to, from);
       }
-      ScheduleAfter(1, [this, from, to, answered] {
-        if (answered > followers_[from]->revision()) {
+      ScheduleAfter(1, [this, from, to, peer_revision] {
+        if (peer_revision > followers_[from]->revision()) {
           Fetch(from, to);
         }
       });
--- a/benchmarks/capacity/linear_fit.cc
+++ b/benchmarks/capacity/linear_fit.cc
@@ -27,13 +27,15 @@
     product_sum += point.size * point.value;
   }
   const auto count = static_cast<double>(points.size());
-  const double spread = count * square_sum - size_sum * size_sum;
+  const double determinant = count * square_sum - size_sum * size_sum;
   LinearFit fit;
   fit.name = std::move(name);
   fit.size_unit = std::move(size_unit);
   fit.value_unit = std::move(value_unit);
   fit.per_size =
-      spread > 0 ? (count * product_sum - size_sum * value_sum) / spread : 0;
+      determinant > 0
+          ? (count * product_sum - size_sum * value_sum) / determinant
+          : 0;
   fit.base = (value_sum - fit.per_size * size_sum) / count;
   fit.target = target;
   fit.at_target = fit.base + fit.per_size * target;
--- a/benchmarks/load_callers.cc
+++ b/benchmarks/load_callers.cc
@@ -17,7 +17,7 @@
 
 double LoadModel::CurrentRateFactor() const {
   // Mean one: four seconds at a half, then one at three times the rate.
-  if (!plan_.bursts) {
+  if (!plan_.has_bursts) {
     return 1;
   }
   return static_cast<std::int64_t>(Seconds(now_ - TimePoint{})) % 5 == 4 ? 3
@@ -25,12 +25,13 @@
 }
 
 void LoadModel::ScheduleArrival(std::size_t index) {
-  const double rate = plan_.traffic[index].per_second * CurrentRateFactor();
+  const double rate =
+      plan_.traffic[index].requests_per_second * CurrentRateFactor();
   const double wait = std::exponential_distribution<double>(rate)(rng_);
   // No longer than a tenth of a second, so that a burst begins on time.
-  const double step = std::min(wait, 0.1);
-  const TimePoint due = now_ + Duration(static_cast<std::int64_t>(step * 1e6));
-  if (due >= TimePoint{} + plan_.length) {
+  const double delay = std::min(wait, 0.1);
+  const TimePoint due = now_ + Duration(static_cast<std::int64_t>(delay * 1e6));
+  if (due >= TimePoint{} + plan_.duration) {
     return;
   }
   Schedule(due, [this, index, arrives = wait <= 0.1] {
@@ -50,7 +51,7 @@
                        const Traffic& traffic,
                        TimePoint first_sent,
                        std::uint32_t resends_left) {
-  const Duration left =
+  const Duration time_left =
       first_sent + plan_.profile.deadline - now_ - 2 * kCallerLatency;
   Submission submission;
   submission.service = "service";
@@ -66,7 +67,7 @@
         1 + static_cast<std::uint64_t>(draw * draw *
                                        static_cast<double>(plan_.prefix_count));
   }
-  submission.timeout = std::max(left, Duration(1));
+  submission.timeout = std::max(time_left, Duration(1));
   const RequestId id =
       daemon.coordinator.Submit(now_, 0, std::move(submission));
   daemon.pending_requests[id] = {traffic, first_sent, resends_left};
@@ -83,9 +84,9 @@
   }
   const PendingRequest pending = found->second;
   daemon.pending_requests.erase(found);
-  const Duration took = now_ - pending.first_sent + 2 * kCallerLatency;
+  const Duration latency = now_ - pending.first_sent + 2 * kCallerLatency;
   const bool in_time =
-      !finish.error.has_value() && took <= plan_.profile.deadline;
+      !finish.error.has_value() && latency <= plan_.profile.deadline;
   if (finish.error.has_value() && pending.resends_left > 0) {
     Schedule(now_ + kResendDelay, [this, &daemon, pending] {
       Submit(daemon, pending.traffic, pending.first_sent,
@@ -102,15 +103,15 @@
       static_cast<std::size_t>(Seconds(pending.first_sent - TimePoint{}));
   const std::string subscriber =
       pending.traffic.organisation + "/" + pending.traffic.subscriber;
-  for (RequestCounts* tally :
+  for (RequestCounts* counts :
        {&outcome_.all, &outcome_.organisations[pending.traffic.organisation],
         &outcome_.subscribers[subscriber], &outcome_.seconds.at(second)}) {
-    ++tally->sent;
-    tally->in_time += in_time ? 1 : 0;
-    tally->refused += refused ? 1 : 0;
+    ++counts->sent;
+    counts->in_time += in_time ? 1 : 0;
+    counts->refused += refused ? 1 : 0;
   }
   if (!finish.error.has_value()) {
-    outcome_.latency_ms.push_back(Milliseconds(took));
+    outcome_.latency_ms.push_back(Milliseconds(latency));
     outcome_.first_token_ms.push_back(Milliseconds(finish.first_token));
   }
 }
--- a/benchmarks/load_model.cc
+++ b/benchmarks/load_model.cc
@@ -7,8 +7,9 @@
 #include "load_model_internal.h"
 
 namespace gentianroute::bench {
-LoadModel::LoadModel(Plan plan) : plan_(std::move(plan)), rng_(plan_.seed) {
-  outcome_.seconds.resize(static_cast<std::size_t>(Seconds(plan_.length)) + 1);
+LoadModel::LoadModel(LoadPlan plan) : plan_(std::move(plan)), rng_(plan_.seed) {
+  outcome_.seconds.resize(static_cast<std::size_t>(Seconds(plan_.duration)) +
+                          1);
   MakeServers();
   MakeDaemons();
 }
@@ -57,7 +58,7 @@
     daemons_.push_back(
         std::make_unique<Daemon>(plan_, region, std::move(options), paths));
     daemons_.back()->coordinator.SetCatalogue(catalogue);
-    if (plan_.affinity) {
+    if (plan_.use_prefix_affinity) {
       daemons_.back()->servers.SetPrefixAffinity(&daemons_.back()->caches);
     }
   }
@@ -99,14 +100,15 @@
     return;
   }
   daemon.next_wakeup = std::max(due, now_);
-  Schedule(daemon.next_wakeup, [this, &daemon, wake = daemon.next_wakeup] {
-    if (daemon.next_wakeup != wake) {
-      return;  // an earlier wake-up has taken its place
-    }
-    daemon.next_wakeup = kNever;
-    daemon.coordinator.Advance(now_);
-    ExecuteActions(daemon);
-  });
+  Schedule(daemon.next_wakeup,
+           [this, &daemon, scheduled_wakeup = daemon.next_wakeup] {
+             if (daemon.next_wakeup != scheduled_wakeup) {
+               return;  // an earlier wake-up has taken its place
+             }
+             daemon.next_wakeup = kNever;
+             daemon.coordinator.Advance(now_);
+             ExecuteActions(daemon);
+           });
 }
 
 }  // namespace gentianroute::bench
--- a/benchmarks/load_model.h
+++ b/benchmarks/load_model.h
@@ -19,7 +19,7 @@
 /// virtual time. The same plan gives the same outcome.
 class LoadModel {
  public:
-  explicit LoadModel(Plan plan);
+  explicit LoadModel(LoadPlan plan);
   ~LoadModel();
   Outcome Run();
 
@@ -68,7 +68,7 @@
   Duration Latency(const Daemon& daemon, const FakeServer& server) const;
   std::uint32_t LaggingLoad(const FakeServer& server) const;
 
-  Plan plan_;
+  LoadPlan plan_;
   Rng rng_;
   TimePoint now_{};
   std::uint64_t next_order_ = 0;
--- a/benchmarks/load_model_internal.h
+++ b/benchmarks/load_model_internal.h
@@ -65,7 +65,7 @@
 
 /// @brief A region's coordinator and what it decides by.
 struct LoadModel::Daemon {
-  Daemon(const Plan& plan,
+  Daemon(const LoadPlan& plan,
          std::string name,
          ServerTable::Options options,
          std::map<std::string, PathCost> paths)
--- a/benchmarks/load_outcome.h
+++ b/benchmarks/load_outcome.h
@@ -34,7 +34,7 @@
   std::vector<double> latency_ms;                  ///< of the answered
   std::uint64_t calls = 0;
   std::uint64_t billed_bytes = 0;
-  std::uint64_t prefix_served = 0;
+  std::uint64_t prefix_requests = 0;
   std::uint64_t prefix_hits = 0;
   std::vector<double> first_token_ms;
   double load_spread = 0;  ///< mean of (most - least loaded) per pool
--- a/benchmarks/load_plan.h
+++ b/benchmarks/load_plan.h
@@ -26,14 +26,14 @@
 struct Traffic {
   std::string organisation;
   std::string subscriber;
-  double per_second = 1;
+  double requests_per_second = 1;
   std::optional<std::size_t> daemon_index;  ///< one daemon instead of all
 };
 
 /// @brief One run of the model.
-struct Plan {
+struct LoadPlan {
   std::uint64_t seed = 1;
-  Duration length = std::chrono::seconds(30);
+  Duration duration = std::chrono::seconds(30);
   Duration warm_up = std::chrono::seconds(3);
   std::vector<std::string> regions = {"north", "middle", "south"};
   std::vector<PoolPlan> pools;
@@ -42,7 +42,7 @@
   RoutingPolicy routing = RoutingPolicy::kPredictedCompletion;
   Coordinator::Options coordinator;
   Duration report_lag = std::chrono::milliseconds(200);
-  bool bursts = true;  ///< three times the rate in every fifth second
+  bool has_bursts = true;  ///< three times the rate in every fifth second
   double first_daemon_share =
       0;  ///< share of requests that all go to the first daemon
   bool share_usage = true;  ///< daemons tell each other their heaviest records
@@ -51,8 +51,9 @@
   double micro_euros_per_byte = 0;  ///< billed between regions
   std::size_t prefix_count = 0;     ///< that prompts begin with; 0: none
   std::size_t prefix_cache_capacity =
-      60;                       ///< prefixes that one engine can hold
-  bool affinity = true;         ///< false: the baseline that knows no caches
+      60;  ///< prefixes that one engine can hold
+  bool use_prefix_affinity =
+      true;                     ///< false: the baseline that knows no caches
   double event_loss_ratio = 0;  ///< share of cache events
 };
 
--- a/benchmarks/load_reports.cc
+++ b/benchmarks/load_reports.cc
@@ -16,10 +16,10 @@
 }  // namespace
 
 std::uint32_t LoadModel::LaggingLoad(const FakeServer& server) const {
-  const TimePoint seen = now_ - plan_.report_lag;
+  const TimePoint reported_at = now_ - plan_.report_lag;
   std::uint32_t load = 0;
   for (const auto& [at, value] : server.history) {
-    if (at > seen) {
+    if (at > reported_at) {
       break;
     }
     load = value;
@@ -39,7 +39,7 @@
     daemon->coordinator.OnServersChanged(now_);
     ExecuteActions(*daemon);
   }
-  if (now_ < TimePoint{} + plan_.length) {
+  if (now_ < TimePoint{} + plan_.duration) {
     Schedule(now_ + kHostListInterval, [this] { PublishHostList(); });
   }
 }
@@ -53,7 +53,7 @@
       }
     }
   }
-  if (now_ < TimePoint{} + plan_.length) {
+  if (now_ < TimePoint{} + plan_.duration) {
     Schedule(now_ + seconds(1), [this] { ShareUsage(); });
   }
 }
@@ -76,7 +76,7 @@
     outcome_.load_spread += range.second - range.first;
   }
   ++load_samples_;
-  if (now_ < TimePoint{} + plan_.length) {
+  if (now_ < TimePoint{} + plan_.duration) {
     Schedule(now_ + kLoadSampleInterval, [this] { SampleLoad(); });
   }
 }
--- a/benchmarks/load_servers.cc
+++ b/benchmarks/load_servers.cc
@@ -23,9 +23,9 @@
     return;
   }
   FakeServer& server = *call->server;
-  const TimePoint from = TimePoint{} + server.plan.fails_from;
-  const TimePoint until = TimePoint{} + server.plan.fails_until;
-  if (now_ >= from && now_ < until) {
+  const TimePoint fault_begin = TimePoint{} + server.plan.fails_from;
+  const TimePoint fault_end = TimePoint{} + server.plan.fails_until;
+  if (now_ >= fault_begin && now_ < fault_end) {
     if (server.plan.hangs) {
       return;
     }
@@ -44,19 +44,20 @@
   FakeServer& server = *call->server;
   ++server.running;
   call->running = true;
-  const double spread = std::exponential_distribution<double>(1)(rng_);
+  const double draw = std::exponential_distribution<double>(1)(rng_);
   const double mean = Seconds(server.plan.mean_service_time) *
                       (server.is_slow ? server.plan.slowdown_factor : 1);
-  double took = mean * (0.5 + 0.5 * std::min(spread, 5.0));
+  double service_time = mean * (0.5 + 0.5 * std::min(draw, 5.0));
   if (call->prefix != 0) {
     const double prefill = kPrefillShare * mean;
     const bool hit = TouchPrefix(server, call->prefix);
-    took += hit ? -std::min(prefill, took) : 0;
-    const double first = hit ? 0 : std::min(prefill, took);
-    Schedule(now_ + Duration(static_cast<std::int64_t>(first * 1e6)),
-             [this, call] { SendFirstToken(call); });
+    service_time += hit ? -std::min(prefill, service_time) : 0;
+    const double first_token_delay = hit ? 0 : std::min(prefill, service_time);
+    Schedule(
+        now_ + Duration(static_cast<std::int64_t>(first_token_delay * 1e6)),
+        [this, call] { SendFirstToken(call); });
   }
-  Schedule(now_ + Duration(static_cast<std::int64_t>(took * 1e6)),
+  Schedule(now_ + Duration(static_cast<std::int64_t>(service_time * 1e6)),
            [this, call] {
              if (call->ended) {
                return;
@@ -70,7 +71,7 @@
 bool LoadModel::TouchPrefix(FakeServer& server, std::uint64_t prefix) {
   const auto found = std::ranges::find(server.cache, prefix);
   const bool hit = found != server.cache.end();
-  ++outcome_.prefix_served;
+  ++outcome_.prefix_requests;
   outcome_.prefix_hits += hit ? 1 : 0;
   if (hit) {
     server.cache.erase(found);
--- a/benchmarks/report.cc
+++ b/benchmarks/report.cc
@@ -43,8 +43,8 @@
     }
     out << "|\n";
   }
-  for (const std::string& what : failures) {
-    out << "BROKEN: " << what << "\n";
+  for (const std::string& description : failures) {
+    out << "BROKEN: " << description << "\n";
   }
 }
 
--- a/benchmarks/report.h
+++ b/benchmarks/report.h
@@ -19,9 +19,9 @@
   std::vector<Row> rows;
   std::vector<std::string> failures;
 
-  void Expect(bool holds, std::string what) {
-    if (!holds) {
-      failures.push_back(std::move(what));
+  void Expect(bool condition, std::string description) {
+    if (!condition) {
+      failures.push_back(std::move(description));
     }
   }
   void WriteText(std::ostream& out) const;
--- a/benchmarks/scenarios.cc
+++ b/benchmarks/scenarios.cc
@@ -12,7 +12,8 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-constexpr double kCapacity = 240;  ///< requests a second, by the engines
+constexpr double kCapacityPerSecond =
+    240;  ///< requests a second, by the engines
 
 StageSpec MakeStage(const char* name, Duration expected, std::int64_t cost) {
   StageSpec stage;
@@ -23,10 +24,10 @@
   return stage;
 }
 
-Plan BasePlan(const ScenarioOptions& options) {
-  Plan plan;
+LoadPlan BasePlan(const ScenarioOptions& options) {
+  LoadPlan plan;
   plan.seed = options.seed;
-  plan.length = options.quick ? seconds(12) : seconds(40);
+  plan.duration = options.quick ? seconds(12) : seconds(40);
   plan.profile.deadline = seconds(2);
   plan.profile.stages = {MakeStage("encode", milliseconds(20), 10),
                          MakeStage("retrieve", milliseconds(25), 15),
@@ -39,10 +40,10 @@
   return plan;
 }
 
-void AddEqualTraffic(Plan& plan, double load) {
+void AddEqualTraffic(LoadPlan& plan, double load) {
   for (int i = 0; i < 5; ++i) {
     plan.traffic.push_back(
-        {"org" + std::to_string(i), "s", load * kCapacity / 5});
+        {"org" + std::to_string(i), "s", load * kCapacityPerSecond / 5});
   }
 }
 
@@ -69,19 +70,19 @@
 
 struct Fault {
   const char* name;
-  void (*apply)(Plan& plan);
+  void (*apply)(LoadPlan& plan);
 };
 
 constexpr std::array<Fault, 4> kFaults = {{
-    {"bursts", [](Plan& /*plan*/) {}},
+    {"bursts", [](LoadPlan& /*plan*/) {}},
     {"one slow engine",
-     [](Plan& plan) { plan.pools.back().slowdown_factor = 8; }},
+     [](LoadPlan& plan) { plan.pools.back().slowdown_factor = 8; }},
     {"rerank fails 5 s",
-     [](Plan& plan) {
+     [](LoadPlan& plan) {
        plan.pools[2].fails_from = seconds(5);
        plan.pools[2].fails_until = seconds(10);
      }},
-    {"reports 3 s late", [](Plan& plan) { plan.report_lag = seconds(3); }},
+    {"reports 3 s late", [](LoadPlan& plan) { plan.report_lag = seconds(3); }},
 }};
 
 struct RoutingVariant {
@@ -99,15 +100,15 @@
                                         ? std::vector<double>{0.8, 1.5}
                                         : std::vector<double>{0.5, 0.8, 1, 1.5};
   for (const double load : loads) {
-    std::array<double, 3> attained{};  // mean over the troubles
+    std::array<double, 3> mean_attainment{};  // mean over the troubles
     for (const Fault& fault : kFaults) {
       for (std::size_t i = 0; i < kRoutingVariants.size(); ++i) {
-        Plan plan = BasePlan({options.seed});
+        LoadPlan plan = BasePlan({options.seed});
         plan.routing = kRoutingVariants[i].policy;
         AddEqualTraffic(plan, load);
         fault.apply(plan);
         const Outcome outcome = LoadModel(plan).Run();
-        attained[i] += outcome.all.Attainment() / kFaults.size();
+        mean_attainment[i] += outcome.all.Attainment() / kFaults.size();
         Row row;
         row["load"] = load;
         row["trouble"] = fault.name;
@@ -121,7 +122,8 @@
         }
       }
     }
-    report.Expect(attained[0] >= std::max(attained[1], attained[2]) - 0.01,
+    report.Expect(mean_attainment[0] >=
+                      std::max(mean_attainment[1], mean_attainment[2]) - 0.01,
                   "predicted routing is no worse at " + std::to_string(load));
   }
 }
@@ -130,11 +132,11 @@
 
 /// Others send 60 % of the capacity; the heavy one sends 20 times its share.
 void RunHeavy(const ScenarioOptions& options, Report& report) {
-  constexpr double kFairShare = 0.6 / 5 * kCapacity;
+  constexpr double kFairShare = 0.6 / 5 * kCapacityPerSecond;
   for (const bool same_organisation : {false, true}) {
     double baseline = 0;
     for (const bool fair : {false, true}) {
-      Plan plan = BasePlan(options);
+      LoadPlan plan = BasePlan(options);
       plan.coordinator.queue_order =
           fair ? QueueOrder::kFair : QueueOrder::kArrival;
       for (int i = 0; i < 5; ++i) {
@@ -146,14 +148,14 @@
       const Outcome outcome = LoadModel(plan).Run();
       RequestCounts others;
       RequestCounts heavy;
-      for (const auto& [name, tally] : outcome.subscribers) {
+      for (const auto& [name, counts] : outcome.subscribers) {
         RequestCounts& sum = name.ends_with("s0") ? heavy : others;
-        sum.sent += tally.sent;
-        sum.in_time += tally.in_time;
+        sum.sent += counts.sent;
+        sum.in_time += counts.in_time;
       }
-      const double measured = Seconds(plan.length - plan.warm_up);
-      const auto per_second = [measured](const RequestCounts& tally) {
-        return static_cast<double>(tally.in_time) / measured;
+      const double measured_seconds = Seconds(plan.duration - plan.warm_up);
+      const auto per_second = [measured_seconds](const RequestCounts& counts) {
+        return static_cast<double>(counts.in_time) / measured_seconds;
       };
       Row row;
       row["heavy"] = same_organisation ? "subscriber" : "organisation";
@@ -163,7 +165,7 @@
       row["others_per_s"] = RoundToThousandths(per_second(others));
       row["heavy_per_s"] = RoundToThousandths(per_second(heavy));
       row["total_of_capacity"] =
-          RoundToThousandths(per_second(outcome.all) / kCapacity);
+          RoundToThousandths(per_second(outcome.all) / kCapacityPerSecond);
       report.rows.push_back(row);
       if (fair) {
         report.Expect(others.Attainment() >= baseline,
@@ -183,12 +185,12 @@
 void RunShared(const ScenarioOptions& options, Report& report) {
   double baseline = 0;
   for (const bool share : {false, true}) {
-    Plan plan = BasePlan(options);
+    LoadPlan plan = BasePlan(options);
     plan.share_usage = share;
-    plan.traffic = {{"light", "s", 0.3 * kCapacity, 0},
-                    {"heavy", "s", 0.3 * kCapacity, 0},
-                    {"heavy", "s", 1.8 * kCapacity, 1},
-                    {"heavy", "s", 1.8 * kCapacity, 2}};
+    plan.traffic = {{"light", "s", 0.3 * kCapacityPerSecond, 0},
+                    {"heavy", "s", 0.3 * kCapacityPerSecond, 0},
+                    {"heavy", "s", 1.8 * kCapacityPerSecond, 1},
+                    {"heavy", "s", 1.8 * kCapacityPerSecond, 2}};
     const Outcome outcome = LoadModel(plan).Run();
     const RequestCounts& light = outcome.organisations.at("light");
     Row row;
@@ -212,8 +214,8 @@
     const bool recovered = std::all_of(
         outcome.seconds.begin() + static_cast<std::ptrdiff_t>(i),
         outcome.seconds.begin() + static_cast<std::ptrdiff_t>(i + 3),
-        [](const RequestCounts& tally) {
-          return tally.Attainment() >= kRecoveredAttainment;
+        [](const RequestCounts& counts) {
+          return counts.Attainment() >= kRecoveredAttainment;
         });
     if (recovered) {
       return static_cast<double>(i - from);
@@ -238,13 +240,13 @@
                          bool hangs,
                          Report& report) {
   constexpr std::size_t kFaultEnd = 15;
-  std::vector<double> recovered;
+  std::vector<double> recovery_seconds;
   std::vector<double> attainment;
   std::vector<double> calls;
   for (const RetryControl& control : kRetryControls) {
-    Plan plan = BasePlan(options);
-    plan.length = seconds(40);
-    plan.bursts = false;
+    LoadPlan plan = BasePlan(options);
+    plan.duration = seconds(40);
+    plan.has_bursts = false;
     plan.caller_resends = 3;
     plan.pools[2].fails_from = seconds(5);
     plan.pools[2].fails_until = seconds(kFaultEnd);
@@ -258,7 +260,7 @@
     }
     AddEqualTraffic(plan, 0.9);
     const Outcome outcome = LoadModel(plan).Run();
-    recovered.push_back(SecondsToRecover(outcome, kFaultEnd));
+    recovery_seconds.push_back(SecondsToRecover(outcome, kFaultEnd));
     calls.push_back(outcome.CallsPerRequest());
     Row row;
     row["fault"] = hangs ? "hangs" : "fails";
@@ -268,13 +270,14 @@
         static_cast<double>(outcome.stage_cost.at("rerank")) /
         static_cast<double>(plan.profile.stages[2].cost_per_call) /
         static_cast<double>(outcome.all.sent));
-    row["recovers_after_s"] = recovered.back();
+    row["recovers_after_s"] = recovery_seconds.back();
     attainment.push_back(outcome.all.Attainment());
     report.rows.push_back(Merge(row, Summarise(outcome)));
   }
   report.Expect(calls[3] <= calls[0], "both restraints make no more calls");
   report.Expect(
-      recovered[3] >= 0 && (recovered[0] < 0 || recovered[3] <= recovered[0]),
+      recovery_seconds[3] >= 0 && (recovery_seconds[0] < 0 ||
+                                   recovery_seconds[3] <= recovery_seconds[0]),
       "with both it recovers no later");
   report.Expect(attainment[3] >= attainment[0] - 0.02,
                 "with both no fewer deadlines are met");
@@ -301,20 +304,20 @@
      {"on, 20 % of events lost", true, 0.2}}};
 
 void RunPrefix(const ScenarioOptions& options, Report& report) {
-  std::vector<double> ratios;
+  std::vector<double> hit_ratios;
   for (const AffinityVariant& affinity : kAffinityVariants) {
-    Plan plan = BasePlan(options);
+    LoadPlan plan = BasePlan(options);
     plan.profile.stages.back().streams = true;
     plan.prefix_count = 600;
-    plan.affinity = affinity.on;
+    plan.use_prefix_affinity = affinity.on;
     plan.event_loss_ratio = affinity.event_loss_ratio;
     plan.micro_euros_per_byte = 1e-4;
     AddEqualTraffic(plan, 0.7);
     const Outcome outcome = LoadModel(plan).Run();
-    ratios.push_back(Ratio(outcome.prefix_hits, outcome.prefix_served));
+    hit_ratios.push_back(Ratio(outcome.prefix_hits, outcome.prefix_requests));
     Row row;
     row["affinity"] = affinity.name;
-    row["hit_ratio"] = RoundToThousandths(ratios.back());
+    row["hit_ratio"] = RoundToThousandths(hit_ratios.back());
     row["first_token_p50_ms"] =
         RoundToThousandths(Outcome::Percentile(outcome.first_token_ms, 0.5));
     row["first_token_p99_ms"] =
@@ -323,10 +326,12 @@
         RoundToThousandths(Ratio(outcome.billed_bytes, outcome.all.in_time));
     report.rows.push_back(Merge(row, Summarise(outcome)));
   }
-  report.Expect(ratios[1] > ratios[0], "affinity finds more prefixes cached");
-  report.Expect(ratios[3] >= ratios[0] - 0.02, "gaps do no harm");
-  report.Expect(ratios[3] - ratios[0] >= 0.5 * (ratios[1] - ratios[0]),
-                "half of the gain is left with a fifth of the events lost");
+  report.Expect(hit_ratios[1] > hit_ratios[0],
+                "affinity finds more prefixes cached");
+  report.Expect(hit_ratios[3] >= hit_ratios[0] - 0.02, "gaps do no harm");
+  report.Expect(
+      hit_ratios[3] - hit_ratios[0] >= 0.5 * (hit_ratios[1] - hit_ratios[0]),
+      "half of the gain is left with a fifth of the events lost");
 }
 
 // --- Profiles ---------------------------------------------------------------
@@ -361,8 +366,9 @@
            Objective::kAttainment}};
 }
 
-Plan MakePlan(const Deployment& deployment, const ScenarioOptions& options) {
-  Plan plan = BasePlan(options);
+LoadPlan MakePlan(const Deployment& deployment,
+                  const ScenarioOptions& options) {
+  LoadPlan plan = BasePlan(options);
   plan.regions = deployment.regions;
   plan.pools.back().servers = deployment.engines;
   plan.pools.push_back({deployment.last_stage, 3, 4, milliseconds(25)});
@@ -393,7 +399,7 @@
                 Report& report) {
   std::array<Outcome, 2> outcomes;
   for (const Objective objective : {Objective::kAttainment, Objective::kCost}) {
-    Plan plan = MakePlan(deployment, options);
+    LoadPlan plan = MakePlan(deployment, options);
     plan.first_daemon_share = distribution.first_daemon_share;
     plan.profile.objective = objective;
     Outcome& outcome = outcomes[static_cast<std::size_t>(objective)];
@@ -409,11 +415,12 @@
   }
   const auto& [attainment, cost] = outcomes;
   // With a deadline that leaves no time to wait both objectives move alike.
-  const double share =
+  const double max_byte_ratio =
       deployment.configured_objective == Objective::kCost ? 0.5 : 1.1;
-  report.Expect(static_cast<double>(cost.billed_bytes) <=
-                    share * static_cast<double>(attainment.billed_bytes),
-                "the thrifty profile moves fewer bytes between regions");
+  report.Expect(
+      static_cast<double>(cost.billed_bytes) <=
+          max_byte_ratio * static_cast<double>(attainment.billed_bytes),
+      "the thrifty profile moves fewer bytes between regions");
   report.Expect(deployment.configured_objective != Objective::kCost ||
                     cost.CostPerAnswer() <= attainment.CostPerAnswer(),
                 "the thrifty profile spends no more per answer");
