--- a/benchmarks/capacity/capacity_bench.cc
+++ b/benchmarks/capacity/capacity_bench.cc
@@ -1,5 +1,5 @@
-// Measures how the work and the state of one daemon grow; docs/CAPACITY.md
-// takes its figures from here.
+// Measures how the CPU time, memory and message sizes of a daemon grow with the
+// size of the deployment. Source of the figures in docs/CAPACITY.md.
 
 #include <algorithm>
 #include <cstdio>
@@ -207,7 +207,8 @@
                  std::move(points), kTargetProfiles);
 }
 
-/// A table service that commits at once.
+/// Makes and settles claims against a table service that commits at once.
+/// @return microseconds for all claims
 double ClaimCycleMicros(std::size_t claims) {
   const JsonClaimCodec codec;
   ClaimLedger::Options options;
@@ -254,7 +255,8 @@
                  kTargetClaims);
 }
 
-/// The slowest of some seeds, since "everywhere" is as late as the last one.
+/// Returns the slowest convergence of several seeds by number of daemons, since
+/// every daemon must have applied the revision.
 LinearFit ConvergenceTime(const std::string& name, std::uint32_t rumours) {
   constexpr std::uint64_t kSeeds = 20;
   constexpr double kDaemons = 810;
@@ -272,7 +274,7 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-  CLI::App app{"slopes of one daemon's work and state"};
+  CLI::App app{"measures how the work and state of one daemon grow with size"};
   std::string output = "text";
   app.add_option("--output", output)->check(CLI::IsMember({"text", "json"}));
   CLI11_PARSE(app, argc, argv);
--- a/benchmarks/capacity/gossip_simulation.cc
+++ b/benchmarks/capacity/gossip_simulation.cc
@@ -20,7 +20,7 @@
 constexpr std::size_t kPeersPerRumour = 2;
 constexpr std::size_t kRevisionsPerCall = 64;
 
-/// Daemons with real followers; messages are events in virtual time.
+/// Discrete-event simulation of daemons, each with a ConfigFollower.
 class GossipSimulation {
  public:
   explicit GossipSimulation(const GossipOptions& options)
@@ -80,7 +80,8 @@
     }
   }
 
-  /// Digests cross; who is behind asks the other for what follows.
+  /// Exchanges revision numbers; the side that is behind fetches the missing
+  /// revisions from the other.
   void Exchange(std::size_t from, std::size_t to) {
     const std::uint64_t sent_revision = followers_[from]->revision();
     ScheduleAfter(1, [this, from, to, sent_revision] {
--- a/benchmarks/capacity/gossip_simulation.h
+++ b/benchmarks/capacity/gossip_simulation.h
@@ -6,16 +6,17 @@
 
 namespace gentianroute::capacity {
 
-/// @brief How daemons tell each other, as PeerLinks does it.
+/// @brief Parameters of gossip as PeerLinks implements it.
 struct GossipOptions {
   std::size_t daemons = 810;
-  std::uint32_t rumours = 1;  ///< extra rounds in a period; 0: none
+  /// Extra rounds per period, run at once after a new revision; 0: none.
+  std::uint32_t rumours = 1;
   std::uint64_t seed = 1;
 };
 
-/// @brief Applies one revision at one daemon and lets gossip alone carry it:
-/// nobody polls the store. Every path takes 20 ms one way, as between regions.
-/// @return seconds of virtual time until every follower has it
+/// @brief Applies a revision at one daemon and spreads it by gossip alone,
+/// without polling of the store. Every message takes 20 ms, as between regions.
+/// @return seconds of virtual time until every daemon has applied it
 double ConvergenceSeconds(const GossipOptions& options);
 
 }  // namespace gentianroute::capacity
--- a/benchmarks/capacity/linear_fit.h
+++ b/benchmarks/capacity/linear_fit.h
@@ -9,7 +9,7 @@
 
 namespace gentianroute::capacity {
 
-/// @brief One measured point.
+/// @brief One measurement.
 struct Point {
   double size = 0;
   double value = 0;
@@ -18,29 +18,30 @@
 /// @brief A quantity measured at several sizes, with its fitted line.
 struct LinearFit {
   std::string name;
-  std::string size_unit;   ///< what grows
-  std::string value_unit;  ///< what was measured
+  std::string size_unit;   ///< unit of the independent variable
+  std::string value_unit;  ///< unit of the measured quantity
   std::vector<Point> points;
-  double base = 0;      ///< value at size 0 by least squares
-  double per_size = 0;  ///< growth for one more
-  double target = 0;    ///< size at the target
-  /// Value at the target, by the line; measured itself if a point is there.
+  double base = 0;      ///< intercept of the least-squares line
+  double per_size = 0;  ///< slope of the line
+  double target = 0;    ///< target size
+  /// Value at the target size: measured if there is such a point, else
+  /// predicted by the line.
   double at_target = 0;
 };
 
-/// @brief Fits a line through the points.
+/// @brief Fits a least-squares line to the points.
 LinearFit FitLine(std::string name,
                   std::string size_unit,
                   std::string value_unit,
                   std::vector<Point> points,
                   double target);
 
-/// @brief Shortest of several runs, which the machine's other work disturbs
-/// least.
-/// @return seconds of one run
+/// @brief Runs `body` several times and takes the minimum, which is the least
+/// affected by other load on the machine.
+/// @return seconds
 double ShortestRun(int runs, const std::function<void()>& body);
 
-/// @brief Heap in use by this process, in bytes.
+/// @brief Returns the heap memory in use by this process, in bytes.
 double HeapBytes();
 
 std::string ToText(std::span<const LinearFit> fits);
--- a/benchmarks/decision_bench.cc
+++ b/benchmarks/decision_bench.cc
@@ -1,4 +1,4 @@
-// Time per decision against the number of servers and of organisations.
+// Measures the time per decision by number of servers and organisations.
 
 #include <benchmark/benchmark.h>
 
@@ -60,7 +60,7 @@
   }
 }
 
-/// All servers but one are full, which is where a scan would be longest.
+/// All servers but one are full: the worst case for a linear scan.
 void PickWhenFull(benchmark::State& state) {
   ServerTable table(TableOptions(), {});
   table.ApplyHostList({}, MakeHosts(state.range(0)));
@@ -113,7 +113,7 @@
     servers.ApplyHostList({}, MakeHosts(hosts));
   }
 
-  /// Submits one request and answers its one call.
+  /// Submits one request and answers its only call.
   void Serve(TimePoint now, const std::string& organisation) {
     Submission submission;
     submission.service = "service";
--- a/benchmarks/load_callers.cc
+++ b/benchmarks/load_callers.cc
@@ -16,7 +16,8 @@
 }  // namespace
 
 double LoadModel::CurrentRateFactor() const {
-  // Mean one: four seconds at a half, then one at three times the rate.
+  // Cycles of five seconds: four at half the rate, one at three times the
+  // rate, so that the mean factor is 1.
   if (!plan_.has_bursts) {
     return 1;
   }
@@ -28,7 +29,7 @@
   const double rate =
       plan_.traffic[index].requests_per_second * CurrentRateFactor();
   const double wait = std::exponential_distribution<double>(rate)(rng_);
-  // No longer than a tenth of a second, so that a burst begins on time.
+  // Resamples at least every 0.1 s, so that a rate change takes effect on time.
   const double delay = std::min(wait, 0.1);
   const TimePoint due = now_ + Duration(static_cast<std::int64_t>(delay * 1e6));
   if (due >= TimePoint{} + plan_.duration) {
@@ -61,7 +62,8 @@
       "{\"letter\":\"" + std::string(plan_.body_bytes, 'a') + "\"}";
   submission.fingerprint = Fingerprint{rng_()};
   if (plan_.prefix_count > 0) {
-    // The square makes a few prefixes much more frequent than the others.
+    // Squaring the draw makes a few prefixes much more frequent than the
+    // others.
     const double draw = std::uniform_real_distribution<double>(0, 1)(rng_);
     submission.prefix =
         1 + static_cast<std::uint64_t>(draw * draw *
@@ -77,7 +79,7 @@
 void LoadModel::Execute(Daemon& daemon, FinishRequest& finish) {
   const auto found = daemon.pending_requests.find(finish.request);
   if (found == daemon.pending_requests.end()) {
-    // Finished within Submit: its record follows this call.
+    // Submit finished the request synchronously and has not recorded it yet.
     Schedule(now_,
              [this, &daemon, finish]() mutable { Execute(daemon, finish); });
     return;
--- a/benchmarks/load_model.cc
+++ b/benchmarks/load_model.cc
@@ -103,7 +103,7 @@
   Schedule(daemon.next_wakeup,
            [this, &daemon, scheduled_wakeup = daemon.next_wakeup] {
              if (daemon.next_wakeup != scheduled_wakeup) {
-               return;  // an earlier wake-up has taken its place
+               return;  // rescheduled for an earlier time
              }
              daemon.next_wakeup = kNever;
              daemon.coordinator.Advance(now_);
--- a/benchmarks/load_model.h
+++ b/benchmarks/load_model.h
@@ -15,8 +15,8 @@
 
 namespace gentianroute::bench {
 
-/// @brief Runs real coordinators, one per region, against fake servers in
-/// virtual time. The same plan gives the same outcome.
+/// @brief Discrete-event simulation of one coordinator per region, against
+/// simulated servers in virtual time. Deterministic for a given plan.
 class LoadModel {
  public:
   explicit LoadModel(LoadPlan plan);
--- a/benchmarks/load_model_internal.h
+++ b/benchmarks/load_model_internal.h
@@ -15,10 +15,12 @@
 
 namespace gentianroute::bench {
 
+// One-way network latency between a daemon and a server.
 constexpr Duration kIntraRegionLatency{500};
 constexpr Duration kInterRegionLatency = std::chrono::milliseconds(20);
 
-/// @brief Claims are not part of the model: no request carries a key.
+/// @brief Stub codec: the model has no claims, as no request carries an
+/// idempotency key.
 class NullClaimCodec : public ClaimCodec {
  public:
   std::string Encode(const Claim& /*claim*/) const override { return {}; }
@@ -29,41 +31,42 @@
 
 inline const NullClaimCodec kNullClaimCodec;
 
-/// @brief One server of the model: slots, a line, a prefix cache.
+/// @brief Simulated server with slots, a FIFO queue and an LRU prefix cache.
 struct LoadModel::FakeServer {
   HostRecord record;
   PoolPlan plan;
-  bool is_slow = false;
+  bool is_slow = false;  ///< `plan.slowdown_factor` applies
   std::uint32_t running = 0;
   std::deque<std::shared_ptr<Call>> queue;
+  /// Load samples, oldest first.
   std::deque<std::pair<TimePoint, std::uint32_t>> history;
-  std::deque<std::uint64_t> cache;  ///< prefixes, the latest used first
-  std::uint64_t sequence = 0;
+  std::deque<std::uint64_t> cache;  ///< prefixes, most recently used first
+  std::uint64_t sequence = 0;       ///< of the latest cache event
 
   std::uint32_t Load() const {
     return running + static_cast<std::uint32_t>(queue.size());
   }
 };
 
-/// @brief One call on its way to a server, in its line, or running there.
+/// @brief One call that is in transit to a server, queued, or running there.
 struct LoadModel::Call {
   Daemon* daemon;
   FakeServer* server;
   AttemptId attempt;
   std::size_t bytes;
-  std::uint64_t prefix = 0;
+  std::uint64_t prefix = 0;  ///< 0: none, or the stage does not stream
   bool running = false;
-  bool ended = false;
+  bool ended = false;  ///< answered or cancelled
 };
 
-/// @brief A request that a caller waits for.
+/// @brief A request whose caller is waiting for an answer.
 struct LoadModel::PendingRequest {
   Traffic traffic;
   TimePoint first_sent;
   std::uint32_t resends_left;
 };
 
-/// @brief A region's coordinator and what it decides by.
+/// @brief A region's coordinator and the state it decides on.
 struct LoadModel::Daemon {
   Daemon(const LoadPlan& plan,
          std::string name,
@@ -83,7 +86,7 @@
   Coordinator coordinator;
   std::unordered_map<RequestId, PendingRequest> pending_requests;
   std::unordered_map<AttemptId, std::shared_ptr<Call>> calls;
-  TimePoint next_wakeup = kNever;
+  TimePoint next_wakeup = kNever;  ///< time of the scheduled Advance call
 };
 
 }  // namespace gentianroute::bench
--- a/benchmarks/load_outcome.h
+++ b/benchmarks/load_outcome.h
@@ -8,40 +8,43 @@
 
 namespace gentianroute::bench {
 
-/// @return part per whole; zero of nothing is zero
+/// @return `part / whole`, or 0 if `whole` is 0
 inline double Ratio(std::uint64_t part, std::uint64_t whole) {
   return whole == 0 ? 0
                     : static_cast<double>(part) / static_cast<double>(whole);
 }
 
-/// @brief What became of the requests of one organisation or subscriber.
+/// @brief Counts of requests by result, for one group of requests.
 struct RequestCounts {
   std::uint64_t sent = 0;
-  std::uint64_t in_time = 0;
-  std::uint64_t refused = 0;  ///< before anything ran
-  std::int64_t cost = 0;      ///< micro-euros, with billed bytes
+  std::uint64_t in_time = 0;  ///< answered within the deadline
+  std::uint64_t refused = 0;  ///< rejected before any stage ran
+  std::int64_t cost = 0;      ///< micro-euros; only in Outcome::all
 
   double Attainment() const { return sent == 0 ? 1 : Ratio(in_time, sent); }
 };
 
-/// @brief What one run measured, after the warm-up.
+/// @brief Results of one run, without the warm-up.
 struct Outcome {
   RequestCounts all;
   std::map<std::string, RequestCounts> organisations;
   std::map<std::string, RequestCounts> subscribers;
   std::map<std::string, std::int64_t> stage_cost;  ///< micro-euros
-  std::vector<RequestCounts> seconds;              ///< by second of arrival
-  std::vector<double> latency_ms;                  ///< of the answered
+  std::vector<RequestCounts> seconds;  ///< indexed by second of arrival
+  std::vector<double> latency_ms;      ///< of answered requests
   std::uint64_t calls = 0;
-  std::uint64_t billed_bytes = 0;
-  std::uint64_t prefix_requests = 0;
+  std::uint64_t billed_bytes = 0;     ///< sent between regions
+  std::uint64_t prefix_requests = 0;  ///< prefix cache lookups
   std::uint64_t prefix_hits = 0;
-  std::vector<double> first_token_ms;
-  double load_spread = 0;  ///< mean of (most - least loaded) per pool
+  std::vector<double> first_token_ms;  ///< of answered requests
+  /// Mean over the samples of the sum over pools of max - min server load.
+  double load_spread = 0;
 
   double CallsPerRequest() const;
+  /// @return micro-euros per request answered in time
   double CostPerAnswer() const;
-  /// @return milliseconds
+  /// @param share quantile, from 0 to 1
+  /// @return the value at that quantile, or 0 if there are no values
   static double Percentile(std::vector<double> values, double share);
 };
 
--- a/benchmarks/load_plan.h
+++ b/benchmarks/load_plan.h
@@ -10,51 +10,52 @@
 
 namespace gentianroute::bench {
 
-/// @brief Servers of one pool in every region, and how they serve.
+/// @brief Servers of one pool, across all regions, and their behaviour.
 struct PoolPlan {
   std::string name;
-  std::uint32_t servers = 3;  ///< in all, dealt out to the regions in turn
-  std::uint32_t slots = 4;    ///< calls that one server works on at a time
+  std::uint32_t servers = 3;  ///< total, assigned to regions round robin
+  std::uint32_t slots = 4;    ///< concurrent calls per server
   Duration mean_service_time{std::chrono::milliseconds(10)};
-  double slowdown_factor = 1;  ///< of the first server only
+  double slowdown_factor = 1;  ///< service time multiplier of the first server
   Duration fails_from{0};
-  Duration fails_until{0};  ///< equal to `fails_from`: never fails
-  bool hangs = false;       ///< when it fails it never answers
+  Duration fails_until{0};  ///< exclusive; equal to `fails_from`: no fault
+  bool hangs = false;       ///< during the fault: no answer instead of an error
 };
 
-/// @brief Requests of one subscriber.
+/// @brief Request stream of one subscriber.
 struct Traffic {
   std::string organisation;
   std::string subscriber;
   double requests_per_second = 1;
-  std::optional<std::size_t> daemon_index;  ///< one daemon instead of all
+  /// Daemon that receives all requests; empty: one drawn for each request.
+  std::optional<std::size_t> daemon_index;
 };
 
-/// @brief One run of the model.
+/// @brief Parameters of one simulation run.
 struct LoadPlan {
   std::uint64_t seed = 1;
   Duration duration = std::chrono::seconds(30);
-  Duration warm_up = std::chrono::seconds(3);
+  Duration warm_up = std::chrono::seconds(3);  ///< excluded from the outcome
   std::vector<std::string> regions = {"north", "middle", "south"};
   std::vector<PoolPlan> pools;
   Profile profile;
   std::vector<Traffic> traffic;
   RoutingPolicy routing = RoutingPolicy::kPredictedCompletion;
   Coordinator::Options coordinator;
+  /// Age of the load reports that daemons receive.
   Duration report_lag = std::chrono::milliseconds(200);
-  bool has_bursts = true;  ///< three times the rate in every fifth second
-  double first_daemon_share =
-      0;  ///< share of requests that all go to the first daemon
-  bool share_usage = true;  ///< daemons tell each other their heaviest records
-  std::uint32_t caller_resends = 0;  ///< by a caller whose request failed
+  bool has_bursts = true;  ///< see LoadModel::CurrentRateFactor
+  /// Fraction of requests sent to the first daemon. Each of the others goes to
+  /// a daemon drawn at random.
+  double first_daemon_share = 0;
+  bool share_usage = true;  ///< daemons exchange their heaviest usage records
+  std::uint32_t caller_resends = 0;  ///< maximum per request, after failures
   std::size_t body_bytes = 2000;
-  double micro_euros_per_byte = 0;  ///< billed between regions
-  std::size_t prefix_count = 0;     ///< that prompts begin with; 0: none
-  std::size_t prefix_cache_capacity =
-      60;  ///< prefixes that one engine can hold
-  bool use_prefix_affinity =
-      true;                     ///< false: the baseline that knows no caches
-  double event_loss_ratio = 0;  ///< share of cache events
+  double micro_euros_per_byte = 0;  ///< for traffic between regions
+  std::size_t prefix_count = 0;     ///< distinct prompt prefixes; 0: none
+  std::size_t prefix_cache_capacity = 60;  ///< prefixes per server
+  bool use_prefix_affinity = true;  ///< false: ignores prefix caches (baseline)
+  double event_loss_ratio = 0;      ///< fraction of cache events dropped
 };
 
 }  // namespace gentianroute::bench
--- a/benchmarks/load_servers.cc
+++ b/benchmarks/load_servers.cc
@@ -10,7 +10,7 @@
 using std::chrono::milliseconds;
 
 constexpr Duration kCacheEventDelay = milliseconds(500);
-/// Share of an engine's mean time that reading an uncached prefix takes.
+/// Fraction of the mean service time spent on prefilling an uncached prefix.
 constexpr double kPrefillShare = 0.4;
 constexpr Duration kFailureDelay = milliseconds(5);
 constexpr int kStatusOk = 200;
--- a/benchmarks/policy_bench.cc
+++ b/benchmarks/policy_bench.cc
@@ -1,4 +1,5 @@
-// Measures the policies in virtual time: `policy_bench SCENARIO [--json]`.
+// Simulates the decision policies in virtual time:
+// `policy_bench SCENARIO [--json]`.
 
 #include <CLI/CLI.hpp>
 #include <iostream>
@@ -31,7 +32,7 @@
 
 int main(int argc, char** argv) {
   using gentianroute::bench::AllScenarios;
-  CLI::App app("Measures gentianroute's policies in virtual time.");
+  CLI::App app("Simulates gentianroute's decision policies in virtual time.");
   std::vector<std::string> names = {"all"};
   for (const auto& scenario : AllScenarios()) {
     names.emplace_back(scenario.name);
@@ -39,12 +40,12 @@
   std::string name;
   gentianroute::bench::ScenarioOptions options;
   bool json = false;
-  app.add_option("scenario", name, "what to measure")
+  app.add_option("scenario", name, "scenario to run")
       ->required()
       ->check(CLI::IsMember(names));
-  app.add_option("--seed", options.seed, "seed of the random numbers");
-  app.add_flag("--json", json, "JSON instead of a table");
-  app.add_flag("--quick", options.quick, "a small size, to see that it runs");
+  app.add_option("--seed", options.seed, "random seed");
+  app.add_flag("--json", json, "print JSON instead of a table");
+  app.add_flag("--quick", options.quick, "shorter runs, for smoke tests");
   CLI11_PARSE(app, argc, argv);
   return gentianroute::bench::RunScenarios(name, options, json);
 }
--- a/benchmarks/report.cc
+++ b/benchmarks/report.cc
@@ -44,7 +44,7 @@
     out << "|\n";
   }
   for (const std::string& description : failures) {
-    out << "BROKEN: " << description << "\n";
+    out << "FAILED: " << description << "\n";
   }
 }
 
--- a/benchmarks/report.h
+++ b/benchmarks/report.h
@@ -9,16 +9,17 @@
 
 namespace gentianroute::bench {
 
-/// @brief One measured line: names and values in the order of the columns.
+/// @brief One table row: column names and values, in column order.
 using Row = nlohmann::ordered_json;
 
-/// @brief What a scenario measured, and which of its assertions failed.
+/// @brief Results of one scenario.
 struct Report {
   std::string scenario;
   std::uint64_t seed = 0;
   std::vector<Row> rows;
-  std::vector<std::string> failures;
+  std::vector<std::string> failures;  ///< descriptions of failed expectations
 
+  /// @brief Records `description` as a failure unless `condition` holds.
   void Expect(bool condition, std::string description) {
     if (!condition) {
       failures.push_back(std::move(description));
@@ -28,7 +29,7 @@
   void WriteJson(std::ostream& out) const;
 };
 
-/// @brief A number with three decimals at most.
+/// @brief Rounds to three decimal places.
 double RoundToThousandths(double value);
 
 }  // namespace gentianroute::bench
--- a/benchmarks/scenarios.cc
+++ b/benchmarks/scenarios.cc
@@ -12,8 +12,9 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-constexpr double kCapacityPerSecond =
-    240;  ///< requests a second, by the engines
+/// Requests per second that the "generate" pool, the bottleneck, can serve:
+/// 12 servers * 4 slots / 0.2 s.
+constexpr double kCapacityPerSecond = 240;
 
 StageSpec MakeStage(const char* name, Duration expected, std::int64_t cost) {
   StageSpec stage;
@@ -100,7 +101,8 @@
                                         ? std::vector<double>{0.8, 1.5}
                                         : std::vector<double>{0.5, 0.8, 1, 1.5};
   for (const double load : loads) {
-    std::array<double, 3> mean_attainment{};  // mean over the troubles
+    // Mean over the faults, by routing policy.
+    std::array<double, 3> mean_attainment{};
     for (const Fault& fault : kFaults) {
       for (std::size_t i = 0; i < kRoutingVariants.size(); ++i) {
         LoadPlan plan = BasePlan({options.seed});
@@ -122,17 +124,20 @@
         }
       }
     }
-    report.Expect(mean_attainment[0] >=
-                      std::max(mean_attainment[1], mean_attainment[2]) - 0.01,
-                  "predicted routing is no worse at " + std::to_string(load));
+    report.Expect(
+        mean_attainment[0] >=
+            std::max(mean_attainment[1], mean_attainment[2]) - 0.01,
+        "predicted routing attains no less than the baselines at load " +
+            std::to_string(load));
   }
 }
 
 // --- Heavy subscribers ------------------------------------------------------
 
-/// Others send 60 % of the capacity; the heavy one sends 20 times its share.
+/// Five subscribers have equal shares of 60 % of the capacity, and one of them
+/// sends 20 times its share.
 void RunHeavy(const ScenarioOptions& options, Report& report) {
-  constexpr double kFairShare = 0.6 / 5 * kCapacityPerSecond;
+  constexpr double kEqualShare = 0.6 / 5 * kCapacityPerSecond;
   for (const bool same_organisation : {false, true}) {
     double baseline = 0;
     for (const bool fair : {false, true}) {
@@ -143,7 +148,7 @@
         const std::string name =
             same_organisation ? "one" : "org" + std::to_string(i);
         plan.traffic.push_back(
-            {name, "s" + std::to_string(i), kFairShare * (i == 0 ? 20 : 1)});
+            {name, "s" + std::to_string(i), kEqualShare * (i == 0 ? 20 : 1)});
       }
       const Outcome outcome = LoadModel(plan).Run();
       RequestCounts others;
@@ -168,20 +173,22 @@
           RoundToThousandths(per_second(outcome.all) / kCapacityPerSecond);
       report.rows.push_back(row);
       if (fair) {
-        report.Expect(others.Attainment() >= baseline,
-                      "fair queueing is no worse for the others");
+        report.Expect(
+            others.Attainment() >= baseline,
+            "fair queueing attains no less for the other subscribers");
         report.Expect(others.Attainment() >= 0.9,
-                      "the others meet nine deadlines of ten");
-        report.Expect(heavy.in_time > 0, "the heavy one gets what is idle");
+                      "the other subscribers meet 90 % of their deadlines");
+        report.Expect(heavy.in_time > 0,
+                      "the heavy subscriber is served from idle capacity");
       }
       baseline = others.Attainment();
     }
   }
 }
 
-/// Two organisations send as much as each other at the first daemon; one of
-/// them sends six times that at each of the other two. Only what those daemons
-/// tell shows the first one who is heavy.
+/// Two organisations send equal load to the first daemon, and one of them sends
+/// six times that to each of the other two daemons. The first daemon can tell
+/// them apart only by the usage records that the others share.
 void RunShared(const ScenarioOptions& options, Report& report) {
   double baseline = 0;
   for (const bool share : {false, true}) {
@@ -200,14 +207,16 @@
         RoundToThousandths(outcome.organisations.at("heavy").Attainment());
     report.rows.push_back(Merge(row, Summarise(outcome)));
     report.Expect(light.Attainment() >= baseline,
-                  "shared records are no worse for the light one");
+                  "the light organisation attains no less with shared records");
     baseline = light.Attainment();
   }
 }
 
 // --- Retries ----------------------------------------------------------------
 
-/// Seconds after the fault until three seconds in a row are as good as before.
+/// @param from second in which the fault ends
+/// @return seconds from then to the first of three consecutive seconds with an
+/// attainment as before the fault, or -1 if there are none
 double SecondsToRecover(const Outcome& outcome, std::size_t from) {
   constexpr double kRecoveredAttainment = 0.9;
   for (std::size_t i = from; i + 3 < outcome.seconds.size(); ++i) {
@@ -274,13 +283,14 @@
     attainment.push_back(outcome.all.Attainment());
     report.rows.push_back(Merge(row, Summarise(outcome)));
   }
-  report.Expect(calls[3] <= calls[0], "both restraints make no more calls");
+  report.Expect(calls[3] <= calls[0],
+                "budget and early refusal together make no more calls");
   report.Expect(
       recovery_seconds[3] >= 0 && (recovery_seconds[0] < 0 ||
                                    recovery_seconds[3] <= recovery_seconds[0]),
-      "with both it recovers no later");
+      "budget and early refusal together recover no later");
   report.Expect(attainment[3] >= attainment[0] - 0.02,
-                "with both no fewer deadlines are met");
+                "budget and early refusal together meet no fewer deadlines");
 }
 
 void RunRetries(const ScenarioOptions& options, Report& report) {
@@ -326,12 +336,12 @@
         RoundToThousandths(Ratio(outcome.billed_bytes, outcome.all.in_time));
     report.rows.push_back(Merge(row, Summarise(outcome)));
   }
-  report.Expect(hit_ratios[1] > hit_ratios[0],
-                "affinity finds more prefixes cached");
-  report.Expect(hit_ratios[3] >= hit_ratios[0] - 0.02, "gaps do no harm");
+  report.Expect(hit_ratios[1] > hit_ratios[0], "affinity raises the hit ratio");
+  report.Expect(hit_ratios[3] >= hit_ratios[0] - 0.02,
+                "lost events don't lower the hit ratio below the baseline");
   report.Expect(
       hit_ratios[3] - hit_ratios[0] >= 0.5 * (hit_ratios[1] - hit_ratios[0]),
-      "half of the gain is left with a fifth of the events lost");
+      "half of the gain remains with 20 % of the events lost");
 }
 
 // --- Profiles ---------------------------------------------------------------
@@ -339,7 +349,7 @@
 struct Deployment {
   const char* name;
   std::uint32_t engines;
-  const char* last_stage;  ///< stage whose calls may not be repeated
+  const char* last_stage;  ///< stage whose calls must not be retried
   Duration deadline;
   std::size_t body_bytes;
   double load;
@@ -377,9 +387,8 @@
   plan.profile.stages.push_back(last);
   plan.profile.deadline = deployment.deadline;
   plan.body_bytes = deployment.body_bytes;
-  plan.first_daemon_share =
-      0.4;  // the bell, or the morning queue, of one region
-  plan.micro_euros_per_byte = 1e-4;  // 0.10 euros a gigabyte
+  plan.first_daemon_share = 0.4;     // the peak of one region
+  plan.micro_euros_per_byte = 1e-4;  // 0.10 euros per gigabyte
   AddEqualTraffic(plan, deployment.load * deployment.engines / 12);
   return plan;
 }
@@ -389,7 +398,7 @@
   double first_daemon_share;
 };
 
-/// The bell, or the morning queue, of one region.
+/// Requests arrive evenly, or peak in one region.
 constexpr std::array<TrafficDistribution, 2> kTrafficDistributions = {
     {{"even", 0}, {"one region busy", 0.4}}};
 
@@ -414,18 +423,19 @@
     report.rows.push_back(Merge(row, Summarise(outcome)));
   }
   const auto& [attainment, cost] = outcomes;
-  // With a deadline that leaves no time to wait both objectives move alike.
+  // A short deadline leaves no slack to wait for a server in the own region, so
+  // that both objectives transfer about the same amount.
   const double max_byte_ratio =
       deployment.configured_objective == Objective::kCost ? 0.5 : 1.1;
   report.Expect(
       static_cast<double>(cost.billed_bytes) <=
           max_byte_ratio * static_cast<double>(attainment.billed_bytes),
-      "the thrifty profile moves fewer bytes between regions");
+      "the cost objective transfers fewer bytes between regions");
   report.Expect(deployment.configured_objective != Objective::kCost ||
                     cost.CostPerAnswer() <= attainment.CostPerAnswer(),
-                "the thrifty profile spends no more per answer");
+                "the cost objective costs no more per answer");
   report.Expect(attainment.all.Attainment() >= cost.all.Attainment() - 0.02,
-                "the prompt profile meets no fewer deadlines");
+                "the attainment objective meets no fewer deadlines");
 }
 
 void RunProfiles(const ScenarioOptions& options, Report& report) {
@@ -437,13 +447,15 @@
 }
 
 constexpr std::array<Scenario, 6> kScenarios = {{
-    {"load", "attainment and cost by load, trouble and routing", &RunLoad},
-    {"heavy", "one at 20 times its share, fair and by arrival", &RunHeavy},
-    {"shared", "heavy at other daemons, records shared or not", &RunShared},
-    {"retries", "a stage fails for 10 s, with and without restraint",
+    {"load", "attainment and cost by load, fault and routing policy", &RunLoad},
+    {"heavy", "one subscriber at 20 times its share, fair and FIFO queueing",
+     &RunHeavy},
+    {"shared", "heavy use at other daemons, with and without shared records",
+     &RunShared},
+    {"retries", "a stage fails for 10 s, with and without retry controls",
      &RunRetries},
-    {"prefix", "cached prompt prefixes, with gaps in the events", &RunPrefix},
-    {"profiles", "thrifty and prompt profiles of both deployments",
+    {"prefix", "prompt prefix caching, with lost cache events", &RunPrefix},
+    {"profiles", "cost and attainment objectives in both deployments",
      &RunProfiles},
 }};
 
--- a/benchmarks/scenarios.h
+++ b/benchmarks/scenarios.h
@@ -9,13 +9,13 @@
 
 struct ScenarioOptions {
   std::uint64_t seed = 1;
-  bool quick = false;  ///< a small size, for the smoke test
+  bool quick = false;  ///< shorter runs, for smoke tests
 };
 
-/// @brief One measurement with its baseline beside it.
+/// @brief An experiment that compares policies with their baselines.
 struct Scenario {
   const char* name;
-  const char* about;
+  const char* about;  ///< one-line description
   void (*run)(const ScenarioOptions& options, Report& report);
 };
 
