--- a/benchmarks/load_callers.cc
+++ b/benchmarks/load_callers.cc
@@ -38,8 +38,9 @@
   Schedule(due, [this, index, arrives = wait <= 0.1] {
     if (arrives) {
       const double draw = std::uniform_real_distribution<double>(0, 1)(rng_);
-      const std::size_t any = rng_() % daemons_.size();
-      const std::size_t chosen = draw < plan_.first_daemon_share ? 0 : any;
+      const std::size_t random_daemon = rng_() % daemons_.size();
+      const std::size_t chosen =
+          draw < plan_.first_daemon_share ? 0 : random_daemon;
       Daemon& daemon =
           *daemons_[plan_.traffic[index].daemon_index.value_or(chosen)];
       Submit(daemon, plan_.traffic[index], now_, plan_.caller_resends);
--- a/benchmarks/load_model.h
+++ b/benchmarks/load_model.h
@@ -66,7 +66,7 @@
   void ShareUsage();
   void SampleLoad();
   Duration Latency(const Daemon& daemon, const FakeServer& server) const;
-  std::uint32_t LaggingLoad(const FakeServer& server) const;
+  std::uint32_t ReportedLoad(const FakeServer& server) const;
 
   LoadPlan plan_;
   Rng rng_;
--- a/benchmarks/load_reports.cc
+++ b/benchmarks/load_reports.cc
@@ -15,7 +15,7 @@
 
 }  // namespace
 
-std::uint32_t LoadModel::LaggingLoad(const FakeServer& server) const {
+std::uint32_t LoadModel::ReportedLoad(const FakeServer& server) const {
   const TimePoint reported_at = now_ - plan_.report_lag;
   std::uint32_t load = 0;
   for (const auto& [at, value] : server.history) {
@@ -31,7 +31,7 @@
   std::vector<HostRecord> hosts;
   for (const auto& [name, server] : servers_) {
     hosts.push_back(server->record);
-    hosts.back().load = LaggingLoad(*server);
+    hosts.back().load = ReportedLoad(*server);
     hosts.back().load_age = plan_.report_lag;
   }
   for (const auto& daemon : daemons_) {
--- a/benchmarks/load_servers.cc
+++ b/benchmarks/load_servers.cc
@@ -118,7 +118,7 @@
 }
 
 void LoadModel::EndCall(const std::shared_ptr<Call>& call, int status) {
-  const std::uint32_t load = LaggingLoad(*call->server);
+  const std::uint32_t load = ReportedLoad(*call->server);
   Schedule(now_ + Latency(*call->daemon, *call->server),
            [this, call, status, load] {
              if (call->ended) {
