--- a/benchmarks/scenarios.cc
+++ b/benchmarks/scenarios.cc
@@ -215,8 +215,9 @@
 // --- Retries ----------------------------------------------------------------
 
 /// @param from second in which the fault ends
-/// @return seconds from then to the first of three consecutive seconds with an
-/// attainment as before the fault, or -1 if there are none
+/// @return seconds from then to the first of three consecutive seconds in which
+/// at least `kRecoveredAttainment` of the deadlines are met, or -1 if there are
+/// none
 double SecondsToRecover(const Outcome& outcome, std::size_t from) {
   constexpr double kRecoveredAttainment = 0.9;
   for (std::size_t i = from; i + 3 < outcome.seconds.size(); ++i) {
