--- a/loadtool/main.cc
+++ b/loadtool/main.cc
@@ -1,4 +1,5 @@
-// Test-only: puts load on daemons and prints what came of it.
+// Open-loop load generator for tests: sends requests to daemons and prints the
+// results.
 
 #include <cstdio>
 #include <string>
@@ -11,11 +12,11 @@
 namespace {
 
 using gentianroute::load::LoadOptions;
-using gentianroute::load::Target;
+using gentianroute::load::TargetService;
 
-/// Reads NAME[=WEIGHT][,keyed][,stream].
-Target ParseTarget(const std::string& text) {
-  Target target;
+/// Parses NAME[=WEIGHT][,keyed][,stream].
+TargetService ParseTargetService(const std::string& text) {
+  TargetService target;
   std::string name = text.substr(0, text.find(','));
   const std::size_t equals = name.find('=');
   if (equals != std::string::npos) {
@@ -23,8 +24,8 @@
     name.resize(equals);
   }
   target.service = name;
-  target.keyed = text.find(",keyed") != std::string::npos;
-  target.stream = text.find(",stream") != std::string::npos;
+  target.sends_key = text.find(",keyed") != std::string::npos;
+  target.streamed = text.find(",stream") != std::string::npos;
   return target;
 }
 
@@ -37,9 +38,9 @@
   double seconds = 5;
   std::int64_t deadline_ms = 6000;
   std::string output = "text";
-  app.add_option("--port", options.ports, "callers' ports, used in turn")
+  app.add_option("--port", options.ports, "callers' ports, used round robin")
       ->required();
-  app.add_option("--key", options.keys, "bearer keys, used in turn")
+  app.add_option("--key", options.keys, "bearer keys, used round robin")
       ->required();
   app.add_option("--service", services, "NAME[=WEIGHT][,keyed][,stream]")
       ->required();
@@ -52,11 +53,11 @@
   CLI11_PARSE(app, argc, argv);
 
   for (const std::string& service : services) {
-    options.targets.push_back(ParseTarget(service));
+    options.targets.push_back(ParseTargetService(service));
   }
-  constexpr double kMicros = 1e6;
-  options.length =
-      gentianroute::Duration(static_cast<std::int64_t>(seconds * kMicros));
+  constexpr double kMicrosPerSecond = 1e6;
+  options.duration = gentianroute::Duration(
+      static_cast<std::int64_t>(seconds * kMicrosPerSecond));
   options.deadline = std::chrono::milliseconds(deadline_ms);
   gentianroute::EventLoop loop;
   const auto result = gentianroute::load::LoadRun(loop, options).Run();
--- a/packages/entry/include/gentianroute/entry/config_sync.h
+++ b/packages/entry/include/gentianroute/entry/config_sync.h
@@ -11,38 +11,41 @@
 
 namespace gentianroute {
 
-/// @brief Follows the configuration log in the store and appends to it.
+/// @brief Reads the configuration log in the table service and appends to it.
 class ConfigSync {
  public:
-  using Done = std::function<void(const ConfigApply&)>;
+  using DoneCallback = std::function<void(const ConfigApply&)>;
 
-  /// @param changed called when a newer revision is in force
+  /// @param on_changed called after a newer revision was applied
   ConfigSync(TableService& tables,
              ObjectStore& objects,
              ConfigFollower& follower,
              const ConfigCodec& codec,
-             std::function<void()> changed,
+             std::function<void()> on_changed,
              ConfigRetention retention = {});
 
-  /// @brief Reads what follows the present revision.
-  /// @param done called with whether the store answered
+  /// @brief Reads the revisions after the current one. Does nothing, and does
+  /// not call `done`, if an earlier poll is still running.
+  /// @param done called with true if the log was read, false otherwise
   void Poll(std::function<void(bool)> done);
-  /// @brief Takes an operator's change through to its end.
-  void Apply(ConfigRevision change, const Done& done);
+  /// @brief Applies an operator's change.
+  /// @param done called once, with the final state
+  void Apply(ConfigRevision change, const DoneCallback& done);
 
  private:
-  void Step(const std::shared_ptr<ConfigApply>& apply, const Done& done);
+  void Advance(const std::shared_ptr<ConfigApply>& apply,
+               const DoneCallback& done);
   void SnapshotIfDue(const ConfigApply& apply);
-  void StepSnapshot();
-  void NoteChange();
+  void AdvanceSnapshot();
+  void ReportChange();
 
   TableService& tables_;
   ObjectStore& objects_;
   ConfigFollower& follower_;
   const ConfigCodec& codec_;
-  std::function<void()> changed_;
+  std::function<void()> on_changed_;
   ConfigRetention retention_;
-  std::uint64_t noted_revision_ = 0;
+  std::uint64_t reported_revision_ = 0;
   ConfigSnapshotter snapshotter_;
   bool polling_ = false;
 };
--- a/packages/entry/include/gentianroute/entry/operator_api.h
+++ b/packages/entry/include/gentianroute/entry/operator_api.h
@@ -12,18 +12,20 @@
 
 namespace gentianroute {
 
-/// @brief What the daemon tells operators and does for them.
+/// @brief Executes the operators' requests.
 class OperatorHandler {
  public:
   virtual ~OperatorHandler() = default;
-  virtual bool Ready() const = 0;
+  virtual bool IsReady() const = 0;
   virtual nlohmann::json Status() const = 0;
-  virtual nlohmann::json DocumentsInForce() const = 0;
-  virtual const gentianroute::Documents& PresentDocuments() const = 0;
+  /// @brief All current documents, as the response body of /v1/documents.
+  virtual nlohmann::json ListDocuments() const = 0;
+  virtual const gentianroute::Documents& CurrentDocuments() const = 0;
   virtual nlohmann::json History() const = 0;
   virtual nlohmann::json Report() const = 0;
   virtual std::string Metrics() const = 0;
-  virtual void Apply(ConfigRevision change, const ConfigSync::Done& done) = 0;
+  virtual void Apply(ConfigRevision change,
+                     const ConfigSync::DoneCallback& done) = 0;
   virtual void StartDrain() = 0;
 };
 
@@ -39,8 +41,8 @@
  private:
   using Route = void (OperatorApi::*)(const HttpRequest&,
                                       const std::shared_ptr<HttpResponder>&);
-  struct RouteRow;
-  static const RouteRow kRoutes[];
+  struct RouteEntry;
+  static const RouteEntry kRoutes[];
 
   void Health(const HttpRequest& request,
               const std::shared_ptr<HttpResponder>& responder);
--- a/packages/entry/src/backend_calls.cc
+++ b/packages/entry/src/backend_calls.cc
@@ -13,10 +13,10 @@
 constexpr int kOk = 200;
 constexpr std::string_view kDataPrefix = "data: ";
 
-/// What the headers of an answer say, whatever its body.
-AttemptAnswer AnswerOf(AttemptId attempt,
-                       int status,
-                       const HttpHeaders& headers) {
+/// Parses the status and the headers of a response.
+AttemptAnswer ParseAnswerHead(AttemptId attempt,
+                              int status,
+                              const HttpHeaders& headers) {
   AttemptAnswer answer;
   answer.attempt = attempt;
   answer.echoed =
@@ -31,7 +31,7 @@
   return answer;
 }
 
-HttpCall CallOf(const StartAttempt& start) {
+HttpCall MakeCall(const StartAttempt& start) {
   HttpCall call;
   call.address = start.server->host.address;
   call.port = start.server->host.port;
@@ -60,7 +60,7 @@
 
 }  // namespace
 
-/// What both sorts of answer share.
+/// Common part of the observers of plain and of streamed responses.
 class BackendCalls::Observer : public HttpCallObserver {
  public:
   Observer(BackendCalls& owner, AttemptId attempt)
@@ -68,90 +68,92 @@
 
   void OnConnected() override { owner_.coordinator_.OnWritten(attempt_); }
   void OnHead(int status, const HttpHeaders& headers) override {
-    answer_ = AnswerOf(attempt_, status, headers);
+    answer_ = ParseAnswerHead(attempt_, status, headers);
   }
   void OnError(HttpCallError error, std::string_view detail) override {
-    owner_.Fail(attempt_, error, detail);
+    owner_.ReportFailure(attempt_, error, detail);
   }
 
  protected:
   void Deliver() {
-    answer_.received = std::exchange(unreported_, 0);
+    answer_.received = std::exchange(unreported_bytes_, 0);
     owner_.calls_.erase(attempt_);
     owner_.coordinator_.OnAnswer(owner_.loop_.Now(), std::move(answer_));
-    owner_.touched_();
+    owner_.request_advance_();
   }
 
   BackendCalls& owner_;
   AttemptId attempt_;
   AttemptAnswer answer_;
-  std::uint64_t unreported_ = 0;  ///< bytes of body not yet handed on
+  std::uint64_t unreported_bytes_ = 0;  ///< body bytes not yet passed on
 };
 
-/// A whole JSON answer of a plain service.
+/// Collects the complete JSON response of a service that does not stream.
 class BackendCalls::PlainObserver final : public Observer {
  public:
   using Observer::Observer;
 
   void OnBody(std::string_view part) override {
-    unreported_ += part.size();
+    unreported_bytes_ += part.size();
     answer_.body += part;
   }
   void OnDone() override {
     if (answer_.status == kOk && !json::accept(answer_.body)) {
-      OnError(HttpCallError::kTruncated, "the answer is not JSON");
+      OnError(HttpCallError::kTruncated, "the response body is not JSON");
       return;
     }
     Deliver();
   }
 };
 
-/// A model engine's stream of server-sent events.
+/// Parses a model engine's stream of server-sent events.
 class BackendCalls::StreamObserver final : public Observer {
  public:
   using Observer::Observer;
 
   void OnBody(std::string_view part) override {
-    unreported_ += part.size();
+    unreported_bytes_ += part.size();
     if (answer_.status != kOk) {
       return;
     }
-    pending_ += part;
+    buffer_ += part;
     std::size_t end = 0;
-    while ((end = pending_.find('\n')) != std::string::npos) {
-      const std::string line = pending_.substr(0, end);
-      pending_.erase(0, end + 1);
+    while ((end = buffer_.find('\n')) != std::string::npos) {
+      const std::string line = buffer_.substr(0, end);
+      buffer_.erase(0, end + 1);
       if (line.starts_with(kDataPrefix)) {
-        OnEvent(std::string_view(line).substr(kDataPrefix.size()));
+        ParseEvent(std::string_view(line).substr(kDataPrefix.size()));
       }
     }
-    owner_.touched_();
+    owner_.request_advance_();
   }
 
   void OnDone() override {
-    // A stream without its last event was cut where a chunk ended.
+    // Without the final event, the stream was cut off at a chunk boundary.
     if (answer_.status == kOk && !done_) {
-      OnError(HttpCallError::kTruncated, "the stream has no end");
+      OnError(HttpCallError::kTruncated,
+              "the stream ended without its final event");
       return;
     }
     Deliver();
   }
 
  private:
-  void OnEvent(std::string_view text) {
+  void ParseEvent(std::string_view text) {
     const json event = json::parse(text, nullptr, false);
     if (event.is_discarded() || !event.is_object()) {
-      return;  // the gap it leaves is found by the next offset
+      return;  // the next event's offset reveals the gap
     }
     try {
-      TakeEvent(event);
+      HandleEvent(event);
     } catch (const json::exception&) {
-      // A field of another type. The exception would leave the loop and end
-      // the daemon; left out, the event is a gap like any other.
+      // A field has the wrong type. An uncaught exception would leave the event
+      // loop and terminate the daemon; skipping the event leaves a gap, which
+      // the next offset reveals.
     }
   }
 
-  void TakeEvent(const json& event) {
+  void HandleEvent(const json& event) {
     if (event.value("done", false)) {
       done_ = true;
       answer_.units = event.value("tokens", std::uint64_t{0});
@@ -162,22 +164,22 @@
     chunk.echoed = AttemptId{event.value("attempt", std::uint64_t{0})};
     chunk.offset = event.value("offset", std::uint64_t{0});
     chunk.text = event.value("text", "");
-    chunk.received = std::exchange(unreported_, 0);
+    chunk.received = std::exchange(unreported_bytes_, 0);
     owner_.coordinator_.OnChunk(owner_.loop_.Now(), std::move(chunk));
   }
 
-  std::string pending_;
+  std::string buffer_;
   bool done_ = false;
 };
 
 BackendCalls::BackendCalls(EventLoop& loop,
                            HttpClient& client,
                            Coordinator& coordinator,
-                           std::function<void()> touched)
+                           std::function<void()> request_advance)
     : loop_(loop),
       client_(client),
       coordinator_(coordinator),
-      touched_(std::move(touched)) {}
+      request_advance_(std::move(request_advance)) {}
 
 void BackendCalls::Start(const StartAttempt& start) {
   std::unique_ptr<HttpCallObserver> observer;
@@ -186,7 +188,7 @@
   } else {
     observer = std::make_unique<PlainObserver>(*this, start.attempt);
   }
-  const HttpCallId call = client_.Call(CallOf(start), std::move(observer));
+  const HttpCallId call = client_.Call(MakeCall(start), std::move(observer));
   calls_[start.attempt] = call;
 }
 
@@ -203,16 +205,16 @@
   }
 }
 
-void BackendCalls::Fail(AttemptId attempt,
-                        HttpCallError error,
-                        std::string_view detail) {
+void BackendCalls::ReportFailure(AttemptId attempt,
+                                 HttpCallError error,
+                                 std::string_view detail) {
   static constexpr AttemptFailure kFailures[] = {AttemptFailure::kConnect,
                                                  AttemptFailure::kReset,
                                                  AttemptFailure::kTruncated};
   calls_.erase(attempt);
   coordinator_.OnFailure(loop_.Now(), attempt,
                          kFailures[static_cast<std::size_t>(error)], detail);
-  touched_();
+  request_advance_();
 }
 
 }  // namespace gentianroute
--- a/packages/entry/src/report.cc
+++ b/packages/entry/src/report.cc
@@ -12,8 +12,8 @@
   return {{"total", attainment.total}, {"attained", attainment.attained}};
 }
 
-/// Why a server gets no work; empty if it does.
-std::string WhyNot(const Server& server, TimePoint now) {
+/// Returns why a server is sent no calls; empty if it is.
+std::string UnavailabilityReason(const Server& server, TimePoint now) {
   if (server.leaving) {
     return "leaving";
   }
@@ -22,7 +22,7 @@
   }
   if (now < server.ejected_until) {
     return std::to_string(server.consecutive_failures) +
-           " failures in a row, tried again in " +
+           " consecutive failures, retried in " +
            std::to_string(static_cast<std::int64_t>(
                Milliseconds(server.ejected_until - now))) +
            " ms";
@@ -65,15 +65,15 @@
   return stages;
 }
 
-json OutOfFavourReport(const ServerTable& servers, TimePoint now) {
+json UnavailableServersReport(const ServerTable& servers, TimePoint now) {
   json list = json::array();
   for (const auto& [name, server] : servers.servers()) {
-    const std::string why = WhyNot(*server, now);
-    if (!why.empty()) {
+    const std::string reason = UnavailabilityReason(*server, now);
+    if (!reason.empty()) {
       list.push_back({{"server", name},
                       {"pool", server->host.pool},
                       {"data_centre", server->host.data_centre},
-                      {"why", why}});
+                      {"why", reason}});
     }
   }
   return list;
--- a/packages/gateway/include/gentianroute/gateway/detail/gateway_impl.h
+++ b/packages/gateway/include/gentianroute/gateway/detail/gateway_impl.h
@@ -11,11 +11,11 @@
 #include "gentianroute/gateway/detail/row_messages.h"
 #include "gentianroute/gateway/gateway.h"
 #include "gentianroute/gateway/request_flow.h"
-#include "gentianroute/gateway/request_journal.h"
-#include "gentianroute/gateway/result_releases.h"
-#include "gentianroute/gateway/retry_ledger.h"
-#include "gentianroute/gateway/stage_desk.h"
-#include "gentianroute/gateway/stage_work.h"
+#include "gentianroute/gateway/request_recorder.h"
+#include "gentianroute/gateway/result_releaser.h"
+#include "gentianroute/gateway/retry_budgets.h"
+#include "gentianroute/gateway/stage_router.h"
+#include "gentianroute/gateway/stage_scheduler.h"
 #include "gentianroute/gateway/start_queue.h"
 #include "gentianroute/gateway/store_follower.h"
 #include "gentianroute/loop/relay_server.h"
@@ -29,19 +29,21 @@
 inline constexpr int kNotFound = 404;
 inline constexpr int kUnavailable = 503;
 
-/// The balancer asks once a second and takes a daemon out after two misses;
-/// until then it still sends new connections.
-inline constexpr Duration kBalancerNotices = std::chrono::milliseconds(2600);
-/// Kept from the grace before the process is killed.
-inline constexpr Duration kGraceMargin = std::chrono::milliseconds(400);
-/// For the last answers to leave the host.
-inline constexpr Duration kLastWords = std::chrono::milliseconds(50);
-inline constexpr Duration kDrainLook = std::chrono::milliseconds(50);
-inline constexpr Duration kHousekeeping = std::chrono::milliseconds(250);
+/// The load balancer checks readiness once a second and removes a daemon after
+/// two failed checks. Until then it still sends new connections.
+inline constexpr Duration kBalancerDetectionTime =
+    std::chrono::milliseconds(2600);
+/// Part of the drain grace that is left unused, so that the daemon ends before
+/// it is killed.
+inline constexpr Duration kDrainMargin = std::chrono::milliseconds(400);
+/// Time for the last responses to leave the host.
+inline constexpr Duration kResponseFlushTime = std::chrono::milliseconds(50);
+inline constexpr Duration kDrainCheckPeriod = std::chrono::milliseconds(50);
+inline constexpr Duration kMaintenancePeriod = std::chrono::milliseconds(250);
 
 }  // namespace detail
 
-/// @brief What one daemon is made of, and how its parts hear of each other.
+/// @brief The components of one daemon, and the events passed between them.
 class Gateway::Impl final : public ClusterHandler {
  public:
   Impl(EventLoop& loop,
@@ -56,36 +58,38 @@
         deployment_(loop,
                     store,
                     StoreTable::kDeployment,
-                    settings_.change_in_force,
+                    settings_.max_change_delay,
                     DeploymentListener()),
         server_rows_(loop,
                      store,
                      StoreTable::kServers,
-                     settings_.change_in_force,
+                     settings_.max_change_delay,
                      ServersListener()),
         cluster_(loop, settings_, store, *this),
-        releases_(loop, client, translator),
-        desk_(loop, client, translator, servers_, releases_),
-        stages_(loop, cluster_, desk_, servers_, topology_),
-        retries_(settings_.retry_ratio, settings_.retry_slack),
-        starting_(loop.Now()),
-        services_{loop,      client,   translator, servers_, topology_,
-                  stages_,   cluster_, retries_,   paces_,   weights_,
-                  suspects_, journal_, drain_} {
+        releaser_(loop, client, translator),
+        stage_scheduler_(loop, client, translator, servers_, releaser_),
+        stage_router_(loop, cluster_, stage_scheduler_, servers_, topology_),
+        retry_budgets_(settings_.retry_ratio, settings_.retry_slack),
+        start_queue_(loop.Now()),
+        flow_context_{loop,           client,        translator, servers_,
+                      topology_,      stage_router_, cluster_,   retry_budgets_,
+                      service_times_, weights_,      suspects_,  recorder_,
+                      drain_} {
     servers_.SetOnClosed(
         [this](routing::Server& server) { OnServerClosed(server); });
     Listen();
     deployment_.Start();
     server_rows_.Start();
     cluster_.Start();
-    loop_.After(StartQueue::kLongest, [this] { EndStart(); });
-    housekeeping_ = loop_.Every(detail::kHousekeeping, [this] { KeepHouse(); });
+    loop_.After(StartQueue::kMaxWait, [this] { ServeStartQueue(); });
+    maintenance_timer_ =
+        loop_.Every(detail::kMaintenancePeriod, [this] { RunMaintenance(); });
     LogEvent("started")
         .Field("daemon", settings_.name)
         .Field("data_centre", settings_.data_centre)
         .Field("callers", settings_.callers.ToString());
   }
-  ~Impl() override { loop_.Cancel(housekeeping_); }
+  ~Impl() override { loop_.Cancel(maintenance_timer_); }
 
   void Drain(std::function<void()> done) {
     if (std::exchange(draining_, true)) {
@@ -95,30 +99,31 @@
         .Field("connections", callers_->connections())
         .Field("active", callers_->active_requests());
     const TimePoint now = loop_.Now();
-    drain_ = {now + detail::kBalancerNotices,
-              now + settings_.drain_grace - detail::kGraceMargin};
+    drain_ = {now + detail::kBalancerDetectionTime,
+              now + settings_.drain_grace - detail::kDrainMargin};
     cluster_.AnnounceLeaving();
     callers_->AnnounceClose();
-    loop_.After(detail::kBalancerNotices,
+    loop_.After(detail::kBalancerDetectionTime,
                 [this] { callers_->StopAccepting(); });
-    WaitForEnd(drain_.last_expected_request + detail::kDrainLook,
+    WaitForEnd(drain_.last_expected_request + detail::kDrainCheckPeriod,
                drain_.ends_at, std::move(done));
   }
 
-  // What peers say and ask.
-  void FillBeat(schema::Beat::Builder beat, Load load) override;
-  void OnBeat(schema::Beat::Reader beat) override;
+  // ClusterHandler: messages and requests from peers.
+  void FillHeartbeat(schema::Beat::Builder heartbeat, LoadReport load) override;
+  void OnHeartbeat(schema::Beat::Reader heartbeat) override;
   void OnPeerGone(std::string_view peer) override;
-  std::unique_ptr<GroupHold> RunGroup(std::string_view service,
-                                      std::string_view data_centre,
-                                      routing::StageGroup group,
-                                      GroupDone done) override {
-    return desk_.Run(service, data_centre, std::move(group), std::move(done));
+  std::unique_ptr<GroupHandle> RunGroup(std::string_view service,
+                                        std::string_view data_centre,
+                                        routing::StageGroup group,
+                                        GroupDone done) override {
+    return stage_scheduler_.Run(service, data_centre, std::move(group),
+                                std::move(done));
   }
   void OnReleased(std::string_view service,
                   std::string_view data_centre,
                   std::vector<std::string> results) override {
-    desk_.Release(service, data_centre, std::move(results));
+    stage_scheduler_.Release(service, data_centre, std::move(results));
   }
   void FillStoreCopy(std::uint64_t deployment_version,
                      std::uint64_t servers_version,
@@ -134,33 +139,34 @@
             },
             [this](const StoredRow& row) {
               OnDeploymentRow(row);
-              cluster_.TellNews(Cluster::News::kRumour);
+              cluster_.SendUpdate(Cluster::UpdateScope::kGossip);
             },
             [](bool /*answers*/) {},
-            [this] { cluster_.TellNews(Cluster::News::kToDataCentre); }};
+            [this] { cluster_.SendUpdate(Cluster::UpdateScope::kDataCentre); }};
   }
   StoreFollower::Listener ServersListener() {
     return {[this](const std::vector<StoredRow>& rows) { OnServerRows(rows); },
             [this](const StoredRow& row) {
               OnServerRow(row);
-              cluster_.TellNews(Cluster::News::kRumour);
+              cluster_.SendUpdate(Cluster::UpdateScope::kGossip);
             },
             [this](bool answers) {
-              if (answers && server_rows_.known()) {
+              if (answers && server_rows_.is_loaded()) {
                 servers_.OnStoreRecovered(loop_.Now());
               }
             },
-            [this] { cluster_.TellNews(Cluster::News::kToDataCentre); }};
+            [this] { cluster_.SendUpdate(Cluster::UpdateScope::kDataCentre); }};
   }
 
   void Listen() {
     RelayServer::Options callers{settings_.callers.address,
                                  settings_.callers.port,
-                                 [this] { return LimitsInForce(); }};
+                                 [this] { return CurrentLimits(); }};
     callers_ = std::make_unique<RelayServer>(
         loop_, std::move(callers), [this](RelayExchangePtr exchange) {
-          if (knows_all() || !starting_.Keep(loop_.Now(), exchange)) {
-            RequestFlow::Begin(services_, std::move(exchange), table_, flows_);
+          if (is_configured() || !start_queue_.TryPush(loop_.Now(), exchange)) {
+            RequestFlow::Begin(flow_context_, std::move(exchange), table_,
+                               flows_);
           }
         });
     readiness_ = std::make_unique<RelayServer>(
@@ -178,26 +184,30 @@
         [this](const RelayExchangePtr& exchange) { AnswerMetrics(*exchange); });
   }
 
-  CallerLimits LimitsInForce() const {
+  CallerLimits CurrentLimits() const {
     return table_ == nullptr ? CallerLimits{} : table_->deployment().limits;
   }
 
-  /// Whether requests can be routed.
-  bool knows_all() const { return table_ != nullptr && server_rows_.known(); }
-  bool ready() const { return knows_all() && !draining_; }
+  /// Whether the deployment and the host list are known, so that requests can
+  /// be routed.
+  bool is_configured() const {
+    return table_ != nullptr && server_rows_.is_loaded();
+  }
+  bool ready() const { return is_configured() && !draining_; }
 
-  /// Begins what has waited for the daemon to know its deployment.
-  void EndStart() {
-    if (!knows_all() && !starting_.IsOver(loop_.Now())) {
+  /// Starts the queued requests if the daemon is configured or they have waited
+  /// long enough.
+  void ServeStartQueue() {
+    if (!is_configured() && !start_queue_.IsTimedOut(loop_.Now())) {
       return;
     }
-    while (RelayExchangePtr exchange = starting_.Take()) {
-      RequestFlow::Begin(services_, std::move(exchange), table_, flows_);
+    while (RelayExchangePtr exchange = start_queue_.Pop()) {
+      RequestFlow::Begin(flow_context_, std::move(exchange), table_, flows_);
     }
   }
 
   void AnswerReadiness(RelayExchange& exchange) {
-    if (!translator_.IsReadinessQuestion(exchange.head())) {
+    if (!translator_.IsReadinessCheck(exchange.head())) {
       exchange.Respond(detail::kNotFound, {}, "");
       return;
     }
@@ -205,8 +215,8 @@
   }
 
   void AnswerMetrics(RelayExchange& exchange);
-  /// Takes out what a peer has told of its load on the servers.
-  void ForgetLoads(std::string_view peer);
+  /// Removes the load that a peer has reported from the servers.
+  void RemovePeerLoads(std::string_view peer);
 
   void OnDeploymentRow(const StoredRow& row) {
     std::string error;
@@ -222,17 +232,18 @@
     }
     table_ = std::make_shared<routing::RouteTable>(std::move(*deployment));
     cluster_.SetStageServices(table_->StageServices());
-    desk_.SetTable(table_);
-    stages_.SetTable(table_);
+    stage_scheduler_.SetTable(table_);
+    stage_router_.SetTable(table_);
     LogEvent("deployment_in_force")
         .Field("version", table_->version())
         .Field("routes", table_->deployment().routes.size());
-    EndStartLater();
+    ServeStartQueueLater();
   }
 
-  /// Once what is being read now has been taken in.
-  void EndStartLater() {
-    loop_.After(Duration{0}, [this] { EndStart(); });
+  /// Schedules ServeStartQueue() in the event loop, so that the rows being read
+  /// are applied first.
+  void ServeStartQueueLater() {
+    loop_.After(Duration{0}, [this] { ServeStartQueue(); });
   }
 
   std::optional<routing::ServerRecord> ReadServer(const StoredRow& row) {
@@ -261,7 +272,7 @@
           static_cast<std::uint64_t>(record.started_at_unix_ms));
     }
     servers_.Replace(now, std::move(records));
-    EndStartLater();
+    ServeStartQueueLater();
   }
 
   void OnServerRow(const StoredRow& row) {
@@ -289,26 +300,31 @@
     }
   }
 
-  void KeepHouse() {
+  void RunMaintenance() {
     const TimePoint now = loop_.Now();
     servers_.Expire(now);
     suspects_.Sweep(now);
-    FollowIfReader();
-    CatchUp();
+    UpdateFollowing();
+    FetchNewerRows();
   }
 
-  void FollowIfReader() {
+  /// Follows the store's tables only while this daemon is the one that reads
+  /// the store for its data centre.
+  void UpdateFollowing() {
     const bool reader = cluster_.IsStoreReader();
     deployment_.SetFollowing(reader);
     server_rows_.SetFollowing(reader);
   }
 
-  /// Takes from a peer what it knows and this daemon does not.
-  void CatchUp() {
+  /// Fetches rows from a peer that has newer ones.
+  void FetchNewerRows() {
     cluster_.FetchStoreCopy(deployment_.newest_change(),
                             server_rows_.newest_change());
   }
 
+  /// Polls until no request is in progress or `latest` has come, then ends the
+  /// remaining requests and calls `done`.
+  /// @param earliest the wait lasts at least until then
   void WaitForEnd(TimePoint earliest,
                   TimePoint latest,
                   std::function<void()> done) {
@@ -319,10 +335,10 @@
       while (!flows_.empty()) {
         flows_.front().OnShutdown();
       }
-      loop_.After(detail::kLastWords, done);
+      loop_.After(detail::kResponseFlushTime, done);
       return;
     }
-    loop_.After(detail::kDrainLook,
+    loop_.After(detail::kDrainCheckPeriod,
                 [this, earliest, latest, done = std::move(done)] {
                   WaitForEnd(earliest, latest, done);
                 });
@@ -335,34 +351,35 @@
   routing::RouteTablePtr table_;
   routing::ServerDirectory servers_;
   SuspectTable suspects_;
-  RequestJournal journal_;
+  RequestRecorder recorder_;
   detail::RowWriter deployment_writer_;
   detail::RowWriter server_writer_;
   StoreFollower deployment_;
   StoreFollower server_rows_;
   Cluster cluster_;
-  ResultReleases releases_;
-  StageDesk desk_;
-  StageWork stages_;
-  RetryLedger retries_;
-  routing::ServiceTimeEstimates paces_;
+  ResultReleaser releaser_;
+  StageScheduler stage_scheduler_;
+  StageRouter stage_router_;
+  RetryBudgets retry_budgets_;
+  routing::ServiceTimeEstimates service_times_;
   routing::RequestWeights weights_;
-  StartQueue starting_;
+  StartQueue start_queue_;
   routing::DrainTimes drain_;
-  FlowServices services_;
+  FlowContext flow_context_;
   RequestFlow::List flows_;
   std::unique_ptr<RelayServer> callers_;
   std::unique_ptr<RelayServer> readiness_;
   std::unique_ptr<RelayServer> metrics_;
-  /// What each peer has at each server.
+  /// Load of each peer on each server, by the name of the peer and the id of
+  /// the server.
   std::map<std::string,
            std::map<std::string, routing::ServerLoad, std::less<>>,
            std::less<>>
       peer_loads_;
-  /// What peers last told of their calls to the store.
+  /// Last reported state of each peer's contact to the store, by its name.
   std::map<std::string, StoreContact, std::less<>> store_contacts_;
   bool draining_ = false;
-  TimerId housekeeping_;
+  TimerId maintenance_timer_;
 };
 
 }  // namespace gentianroute::gateway
--- a/packages/gateway/include/gentianroute/gateway/detail/request_send.h
+++ b/packages/gateway/include/gentianroute/gateway/detail/request_attempt.h
@@ -1,5 +1,5 @@
-#ifndef GENTIANROUTE_GATEWAY_DETAIL_REQUEST_SEND_H_
-#define GENTIANROUTE_GATEWAY_DETAIL_REQUEST_SEND_H_
+#ifndef GENTIANROUTE_GATEWAY_DETAIL_REQUEST_ATTEMPT_H_
+#define GENTIANROUTE_GATEWAY_DETAIL_REQUEST_ATTEMPT_H_
 
 #include <string_view>
 #include <utility>
@@ -8,24 +8,24 @@
 
 namespace gentianroute::gateway {
 
-/// One try at one server.
-class RequestFlow::Send final : public RelayCallObserver {
+/// One attempt to have a request answered by a server.
+class RequestFlow::Attempt final : public RelayCallObserver {
  public:
-  Send(RequestFlow& flow, RelayCall call) : flow_(&flow) {
-    id_ = flow.services_.client.Call(std::move(call), *this);
+  Attempt(RequestFlow& flow, RelayCall call) : flow_(&flow) {
+    id_ = flow.context_.client.Call(std::move(call), *this);
   }
-  ~Send() override { Drop(); }
+  ~Attempt() override { Cancel(); }
 
-  /// Closes the connection; nothing more is heard.
-  void Drop() {
+  /// Closes the connection; no more callbacks follow.
+  void Cancel() {
     if (RequestFlow* flow = std::exchange(flow_, nullptr)) {
-      flow->services_.client.Cancel(id_);
+      flow->context_.client.Cancel(id_);
     }
   }
 
   void OnHead(MessageHead head) override {
     const Ptr flow(flow_);
-    flow->OnHead(flow->services_.translator.ReadAnswer(head));
+    flow->OnHead(flow->context_.translator.ReadAnswer(head));
   }
   void OnBody(std::string_view part) override {
     const Ptr flow(flow_);
@@ -37,7 +37,7 @@
   }
   void OnFailure(RelayFailure failure) override {
     const Ptr flow(std::exchange(flow_, nullptr));
-    flow->OnBroken(failure);
+    flow->OnAttemptFailure(failure);
   }
 
  private:
@@ -47,4 +47,4 @@
 
 }  // namespace gentianroute::gateway
 
-#endif  // GENTIANROUTE_GATEWAY_DETAIL_REQUEST_SEND_H_
+#endif  // GENTIANROUTE_GATEWAY_DETAIL_REQUEST_ATTEMPT_H_
--- a/packages/gateway/include/gentianroute/gateway/stage_desk.h
+++ b/packages/gateway/include/gentianroute/gateway/stage_scheduler.h
@@ -1,5 +1,5 @@
-#ifndef GENTIANROUTE_GATEWAY_STAGE_DESK_H_
-#define GENTIANROUTE_GATEWAY_STAGE_DESK_H_
+#ifndef GENTIANROUTE_GATEWAY_STAGE_SCHEDULER_H_
+#define GENTIANROUTE_GATEWAY_STAGE_SCHEDULER_H_
 
 #include <functional>
 #include <map>
@@ -10,7 +10,7 @@
 
 #include "gentianroute/gateway/cluster.h"
 #include "gentianroute/gateway/pool_key.h"
-#include "gentianroute/gateway/result_releases.h"
+#include "gentianroute/gateway/result_releaser.h"
 #include "gentianroute/gateway/translator.h"
 #include "gentianroute/loop/event_loop.h"
 #include "gentianroute/loop/relay_client.h"
@@ -22,30 +22,33 @@
 namespace gentianroute::gateway {
 
 /// @brief Runs the stage pools that this daemon schedules, and sends their
-/// calls.
-class StageDesk {
+/// calls to the stage servers.
+class StageScheduler {
  public:
-  StageDesk(EventLoop& loop,
-            RelayClient& client,
-            const Translator& translator,
-            routing::ServerDirectory& servers,
-            ResultReleases& releases);
-  ~StageDesk();
+  StageScheduler(EventLoop& loop,
+                 RelayClient& client,
+                 const Translator& translator,
+                 routing::ServerDirectory& servers,
+                 ResultReleaser& releaser);
+  ~StageScheduler();
 
   void SetTable(routing::RouteTablePtr table);
   /// @brief Runs a group in the pool of a service in a data centre.
-  /// @param done called once, later; never once the hold is let go
-  std::unique_ptr<GroupHold> Run(std::string_view service,
-                                 std::string_view data_centre,
-                                 routing::StageGroup group,
-                                 GroupDone done);
-  /// @brief Visits each pool that has had work here lately.
+  /// @param done called once, after Run() has returned, unless the handle is
+  /// destroyed before
+  /// @return handle that cancels the group when it is destroyed
+  std::unique_ptr<GroupHandle> Run(std::string_view service,
+                                   std::string_view data_centre,
+                                   routing::StageGroup group,
+                                   GroupDone done);
+  /// @brief Calls `visit` for each pool to which work was submitted recently.
   void ForEachPool(
       TimePoint now,
       const std::function<void(std::string_view service,
                                std::string_view data_centre,
                                routing::Backlog backlog)>& visit) const;
-  /// @brief Frees the room of results, in a pool's books and at their servers.
+  /// @brief Releases results that nobody reads any more, in the state of their
+  /// pool and at the servers that store them.
   void Release(std::string_view service,
                std::string_view data_centre,
                std::vector<std::string> results);
@@ -53,28 +56,33 @@
   std::uint64_t pieces_sent() const { return pieces_sent_; }
 
  private:
-  class Hold;
+  class Handle;
   struct Pool;
 
+  /// @return null if the service is not a stage service
   Pool* PoolFor(std::string_view service, std::string_view data_centre);
-  void Work(Pool& pool);
-  void WorkLater(Pool& pool);
+  /// Sends the calls that are due and schedules the next time.
+  void Dispatch(Pool& pool);
+  /// Schedules one Dispatch() in the event loop, unless one is scheduled
+  /// already.
+  void DispatchLater(Pool& pool);
   void Send(Pool& pool, const routing::StageCall& call);
-  static void TellCall(const Pool& pool,
-                       const routing::StageCall& call,
-                       std::span<const StagePieceRequest> pieces);
-  StageAnswer ReadEnd(const Pool& pool, const RelayFetchResult& end) const;
+  static void LogCall(const Pool& pool,
+                      const routing::StageCall& call,
+                      std::span<const StagePieceRequest> pieces);
+  StageAnswer ReadAnswer(const Pool& pool, const RelayFetchResult& end) const;
   void OnCallEnd(Pool& pool,
                  routing::StageCallId call,
                  const StageAnswer& answer);
-  void Settle(Pool& pool);
+  /// Calls back for the groups that have ended and releases orphaned results.
+  void DeliverFinished(Pool& pool);
   std::vector<routing::ServerPtr> ServersOf(const Pool& pool) const;
 
   EventLoop& loop_;
   RelayFetches fetches_;
   const Translator& translator_;
   routing::ServerDirectory& servers_;
-  ResultReleases& releases_;
+  ResultReleaser& releaser_;
   routing::RouteTablePtr table_;
   std::map<PoolKey, std::unique_ptr<Pool>> pools_;
   std::uint64_t calls_sent_ = 0;
@@ -83,4 +91,4 @@
 
 }  // namespace gentianroute::gateway
 
-#endif  // GENTIANROUTE_GATEWAY_STAGE_DESK_H_
+#endif  // GENTIANROUTE_GATEWAY_STAGE_SCHEDULER_H_
--- a/packages/gateway/src/peer_calls.cc
+++ b/packages/gateway/src/peer_calls.cc
@@ -13,11 +13,11 @@
 using detail::ReadOutcome;
 using detail::WriteGroup;
 
-/// A copy over a narrow link that others use too takes most of a second; asked
-/// for again before it has come, it would take up the link twice.
-constexpr Duration kCopyTimeout = std::chrono::milliseconds(1500);
-/// One packet of the first try may have been lost.
-constexpr int kMostFailures = 2;
+/// A copy over a slow shared link takes most of a second. Requesting it again
+/// before it has arrived would use the link twice.
+constexpr Duration kStoreCopyTimeout = std::chrono::milliseconds(1500);
+/// A packet of the first attempt may have been lost.
+constexpr int kMaxConnectFailures = 2;
 
 struct LogTaskErrors final : kj::TaskSet::ErrorHandler {
   void taskFailed(kj::Exception&& exception) override {
@@ -28,8 +28,8 @@
 
 }  // namespace
 
-/// A group that a peer runs. Letting go of it cancels the call.
-class PeerCalls::RemoteGroup final : public GroupHold {
+/// A group that a peer runs. Destroying it cancels the call.
+class PeerCalls::RemoteGroup final : public GroupHandle {
  public:
   using Done = std::function<void(std::optional<GroupOutcome>)>;
 
@@ -52,7 +52,7 @@
  private:
   Done done_;
   kj::Canceler canceler_;
-  /// Tells a callback that the group still exists.
+  /// Expires with the group, so that callbacks detect its destruction.
   std::shared_ptr<RemoteGroup*> self_ = std::make_shared<RemoteGroup*>(this);
 };
 
@@ -66,7 +66,7 @@
   loop_.Cancel(sweep_timer_);
 }
 
-void PeerCalls::Link(const DaemonState& peer) {
+void PeerCalls::EnsureConnected(const DaemonState& peer) {
   Connection& connection = connections_[peer.name];
   connection.peer = peer;
   if (connection.rpc == nullptr || connection.broken) {
@@ -74,7 +74,7 @@
   }
 }
 
-void PeerCalls::Unlink(std::string_view peer) {
+void PeerCalls::Disconnect(std::string_view peer) {
   const auto found = connections_.find(peer);
   if (found != connections_.end()) {
     connections_.erase(found);
@@ -94,16 +94,16 @@
       connection.rpc->was_connected() ? 0 : connection.failures + 1;
   // The connection must not be destroyed by its own callback.
   loop_.Cancel(sweep_timer_);
-  sweep_timer_ = loop_.After(Duration{0}, [this] { SweepBroken(); });
+  sweep_timer_ = loop_.After(Duration{0}, [this] { ReplaceBroken(); });
 }
 
-void PeerCalls::SweepBroken() {
+void PeerCalls::ReplaceBroken() {
   std::vector<std::string> unreachable;
   for (auto& [name, connection] : connections_) {
     if (!connection.broken) {
       continue;
     }
-    if (connection.failures < kMostFailures) {
+    if (connection.failures < kMaxConnectFailures) {
       Connect(connection);
     } else {
       unreachable.push_back(name);
@@ -115,27 +115,27 @@
   }
 }
 
-schema::Cluster::Client PeerCalls::Of(const DaemonState& peer) {
-  Link(peer);
+schema::Cluster::Client PeerCalls::ClientOf(const DaemonState& peer) {
+  EnsureConnected(peer);
   return connections_.find(peer.name)
       ->second.rpc->bootstrap()
       .castAs<schema::Cluster>();
 }
 
-std::unique_ptr<GroupHold> PeerCalls::RunGroup(
+std::unique_ptr<GroupHandle> PeerCalls::RunGroup(
     const DaemonState& peer,
     const PoolKey& pool,
     const routing::StageGroup& group,
     std::function<void(std::optional<GroupOutcome>)> done) {
   auto remote = std::make_unique<RemoteGroup>(std::move(done));
   const std::weak_ptr<RemoteGroup*> self = remote->self();
-  auto request = Of(peer).runGroupRequest();
+  auto request = ClientOf(peer).runGroupRequest();
   WriteGroup(loop_.Now(), pool.service, pool.data_centre, group,
              request.initGroup());
   kj::Promise<capnp::Response<schema::Cluster::RunGroupResults>> sent =
       request.send();
-  // Only the call itself can be cancelled: what hears of its end may let go of
-  // the group, and a promise must not be destroyed by its own callback.
+  // Only the call itself is cancellable: the callback may destroy the group,
+  // and a promise must not be destroyed by its own callback.
   tasks_->add(remote->Wrap(kj::mv(sent))
                   .then(
                       [self](auto response) {
@@ -154,14 +154,15 @@
 void PeerCalls::Release(const DaemonState& peer,
                         const PoolKey& pool,
                         std::span<const std::string> results) {
-  auto request = Of(peer).releaseRequest();
+  auto request = ClientOf(peer).releaseRequest();
   request.setService(pool.service);
   request.setDataCentre(pool.data_centre);
   auto out = request.initResults(static_cast<unsigned>(results.size()));
   for (unsigned i = 0; i < out.size(); ++i) {
     out.set(i, results[i]);
   }
-  // A lost release costs room for some seconds only; it is not repeated.
+  // A lost release is not repeated; the server then keeps the results for some
+  // seconds longer.
   tasks_->add(request.send().ignoreResult());
 }
 
@@ -171,13 +172,13 @@
     std::uint64_t servers_version,
     std::function<void(schema::StoreCopy::Reader)> done) {
   fetching_ = true;
-  auto request = Of(peer).storeCopyRequest();
+  auto request = ClientOf(peer).storeCopyRequest();
   request.setDeploymentVersion(deployment_version);
   request.setServersVersion(servers_version);
   auto timeout = kj::newPromiseAndFulfiller<void>();
   auto fulfiller = std::make_shared<kj::Own<kj::PromiseFulfiller<void>>>(
       kj::mv(timeout.fulfiller));
-  loop_.After(kCopyTimeout, [fulfiller] { (*fulfiller)->fulfill(); });
+  loop_.After(kStoreCopyTimeout, [fulfiller] { (*fulfiller)->fulfill(); });
   tasks_->add(
       request.send()
           .then([done = std::move(done)](auto response) {
--- /dev/null
+++ b/packages/gateway/src/request_flow_attempts.cc
@@ -0,0 +1,398 @@
+#include <algorithm>
+#include <utility>
+
+#include "gentianroute/gateway/detail/request_attempt.h"
+#include "gentianroute/gateway/detail/request_limits.h"
+#include "gentianroute/gateway/request_flow.h"
+#include "gentianroute/loop/message_text.h"
+#include "gentianroute/routing/answer_watch.h"
+
+// Sending a request to a backend server, relaying its answer, and retries.
+
+namespace gentianroute::gateway {
+namespace {
+
+using detail::kMaxRecomputations;
+using detail::kMinAnswerTime;
+
+constexpr int kFirstNonSuccessStatus = 300;
+constexpr int kFirstServerErrorStatus = 500;
+constexpr int kConflict = 409;
+
+/// An answer updates the estimate of the prefill time only if at most this
+/// share of its prompt may or may not have been cached.
+constexpr double kMaxUncertainShare = 0.25;
+/// Idle time after which a connection is not reused for requests that must run
+/// at most once: if the server closes it as idle while the request is on its
+/// way, it is unknown whether the request has run.
+constexpr Duration kMaxIdleNonRepeatable = std::chrono::milliseconds(1500);
+/// The same for repeatable requests.
+constexpr Duration kMaxIdleRepeatable = std::chrono::seconds(4);
+
+}  // namespace
+
+bool RequestFlow::IsGeneration() const {
+  return service_ != nullptr && service_->model.has_value();
+}
+
+routing::ServerChoice RequestFlow::ChooseServer() const {
+  const TimePoint now = context_.loop.Now();
+  const auto& servers = context_.servers.ServersOf(service_name_);
+  const routing::ServiceTimeEstimate& estimate =
+      context_.service_times.Of(service_name_);
+  if (IsGeneration()) {
+    const auto inputs = PlacedResults(plan_->FinalStages(), 1);
+    return routing::ChooseModelServer(now, servers, tried_, request_.prompt,
+                                      inputs, *service_->model, estimate,
+                                      context_.topology);
+  }
+  return routing::ChoosePlainServer(now, servers, tried_, estimate,
+                                    context_.topology);
+}
+
+std::string RequestFlow::MessageFor(const routing::Server& server) const {
+  ServerRequest added;
+  added.expected_server = server.record().id;
+  if (organisation_ != nullptr) {
+    added.organisation = organisation_->name;
+  }
+  added.time_left = TimeLeft();
+  added.inputs = plan_->FinalInputs();
+  added.resume_after =
+      events_.last_id().empty() ? request_.resume_after : events_.last_id();
+  const MessageHead& head = exchange_->head();
+  const std::string& body = exchange_->body();
+  const bool bodiless =
+      body.empty() && (head.method == "GET" || head.method == "HEAD" ||
+                       head.method == "DELETE");
+  return SerialiseRequestHead(
+             head.method, head.target,
+             context_.translator.ServerFields(request_, added),
+             bodiless ? BodyFraming::kNone : BodyFraming::kLength,
+             body.size()) +
+         body;
+}
+
+void RequestFlow::SendToServer() {
+  const routing::ServerChoice choice = ChooseServer();
+  if (choice.server == nullptr) {
+    Refuse(ErrorKind::kNoServer, "no server can accept the request");
+    return;
+  }
+  tried_.push_back(choice.server->record().id);
+  const routing::ServerRecord& record = choice.server->record();
+  RelayCall call;
+  call.endpoint = {record.address, record.port};
+  call.message = MessageFor(*choice.server);
+  call.response_has_no_body = exchange_->head().method == "HEAD";
+  call.max_idle = repeatable() ? kMaxIdleRepeatable : kMaxIdleNonRepeatable;
+  call.matches_response = [&translator = context_.translator,
+                           id = request_.id](const MessageHead& head) {
+    return translator.IsAnswerTo(head, id);
+  };
+  RequestSent sent;
+  sent.id = request_.id;
+  sent.server = record.id;
+  sent.data_centre = record.data_centre;
+  sent.server_calls = choice.server->calls();
+  sent.server_tokens = choice.server->tokens();
+  sent.pending_prefill_tokens = choice.server->pending_prefill_tokens();
+  sent.own_tokens = request_.prompt.OwnTokens();
+  sent.uncached_shared_tokens =
+      choice.server->prompt_cache().UncachedSharedTokens(request_.prompt);
+  sent.score_ms = choice.score_ms;
+  sent.time_left = TimeLeft();
+  context_.recorder.OnSent(sent);
+  AssignServer(choice.server);
+  ++attempts_;
+  may_have_run_ = true;
+  answer_ = {};
+  body_.clear();
+  streaming_ = false;
+  attempt_ = std::make_unique<Attempt>(*this, std::move(call));
+  StartFirstByteTimer();
+}
+
+void RequestFlow::StartFirstByteTimer() {
+  context_.loop.Cancel(answer_timer_);
+  if (!repeatable()) {
+    return;
+  }
+  const routing::ServiceTimeEstimate& estimate =
+      context_.service_times.Of(service_name_);
+  // The shared parts may not be cached, so the timeout allows for their
+  // prefill.
+  const Duration answer =
+      IsGeneration() ? estimate.TimeToFirstEvent(pending_prefill_tokens_ +
+                                                 request_.prompt.tokens_in)
+                     : std::chrono::duration_cast<Duration>(
+                           estimate.ServiceTime() * waves_);
+  const Duration expected =
+      answer + context_.topology.RoundTrip(server_->record().data_centre);
+  CheckAfter(routing::FirstByteOverdueAfter(*route_, expected),
+             &RequestFlow::OnFirstByteOverdue);
+}
+
+void RequestFlow::CheckAfter(Duration wait, void (RequestFlow::*check)()) {
+  answer_timer_ = context_.loop.After(wait, [this, check] {
+    answer_timer_ = context_.loop.After(routing::kSocketReadGrace,
+                                        [this, check] { (this->*check)(); });
+  });
+}
+
+void RequestFlow::AssignServer(const routing::ServerPtr& server) {
+  UnassignServer();
+  server_ = server;
+  sent_at_ = context_.loop.Now();
+  pending_prefill_tokens_ = server_->pending_prefill_tokens();
+  waves_ = routing::WavesAt(*server_);
+  placed_load_.calls = 1;
+  const routing::Prompt& prompt = request_.prompt;
+  placed_load_.tokens = prompt.tokens_in + prompt.tokens_out / 2;
+  placed_load_.pending_prefill_tokens = prompt.OwnTokens();
+  server_->own() += placed_load_;
+}
+
+void RequestFlow::UnassignServer() {
+  if (server_ == nullptr) {
+    return;
+  }
+  server_->own() -= placed_load_;
+  placed_load_ = {};
+  server_ = nullptr;
+}
+
+void RequestFlow::OnHead(const ServerAnswer& answer) {
+  answer_ = answer;
+  server_->OnBytesReceived(context_.loop.Now());
+  context_.loop.Cancel(answer_timer_);
+  const bool streams = route_->kind == routing::RouteKind::kStream &&
+                       answer.status < kFirstNonSuccessStatus &&
+                       !answer.not_run;
+  if (streams && !answer_begun_) {
+    answer_begun_ = true;
+    exchange_->Begin(answer.status, answer.forwarded_fields);
+  }
+}
+
+void RequestFlow::OnBody(std::string_view part) {
+  if (!answer_begun_ || answer_.status >= kFirstNonSuccessStatus) {
+    body_.append(part);
+    return;
+  }
+  last_byte_at_ = context_.loop.Now();
+  server_->OnBytesReceived(last_byte_at_);
+  if (!streaming_) {
+    streaming_ = true;
+    OnFirstByte();
+  }
+  RelayPart(part);
+}
+
+Duration RequestFlow::TimeAtServer(TimePoint now) const {
+  return now - sent_at_ -
+         context_.topology.RoundTrip(server_->record().data_centre);
+}
+
+void RequestFlow::OnFirstByte() {
+  const TimePoint now = context_.loop.Now();
+  first_byte_at_ = first_byte_at_ == TimePoint{} ? now : first_byte_at_;
+  const routing::Prompt& prompt = request_.prompt;
+  const Duration taken = TimeAtServer(now);
+  routing::ServiceTimeEstimate& estimate =
+      context_.service_times.Of(service_name_);
+  const double prefill_tokens = pending_prefill_tokens_ + prompt.OwnTokens();
+  const double uncertain = server_->prompt_cache().UncachedSharedTokens(prompt);
+  server_->history().OnAnswer(
+      now, true,
+      Seconds(taken) /
+          Seconds(estimate.TimeToFirstEvent(prefill_tokens + uncertain)));
+  if (uncertain <= kMaxUncertainShare * prefill_tokens) {
+    estimate.OnFirstEvent(prefill_tokens, taken);
+  }
+  if (IsGeneration()) {
+    server_->prompt_cache().OnPrefill(
+        now, prompt, static_cast<double>(service_->model->memory_tokens));
+  }
+  server_->own().pending_prefill_tokens -= placed_load_.pending_prefill_tokens;
+  placed_load_.pending_prefill_tokens = 0;
+  // The server has read the stage results by now. A resumed stream recomputes
+  // them.
+  ReleaseResults(plan_->TakeAll());
+  if (repeatable()) {
+    StartSilenceTimer();
+  }
+}
+
+void RequestFlow::StartSilenceTimer() {
+  CheckAfter(routing::StreamSilenceTimeout(*route_),
+             &RequestFlow::OnSilenceTimer);
+}
+
+void RequestFlow::OnSilenceTimer() {
+  if (server_ == nullptr) {
+    return;
+  }
+  const TimePoint now = context_.loop.Now();
+  if (server_->HasReceivedSince(now - routing::StreamSilenceTimeout(*route_))) {
+    StartSilenceTimer();
+    return;
+  }
+  const Ptr keep(this);
+  server_->history().OnConnectionFailure(now);
+  events_.DropPartial();
+  RetryAndCancel("silent", "the server stopped sending");
+}
+
+void RequestFlow::RelayPart(std::string_view part) {
+  if (!route_->resumable) {
+    exchange_->Write(part);
+    return;
+  }
+  exchange_->Write(events_.Feed(part));
+}
+
+void RequestFlow::OnAnswered() {
+  const TimePoint now = context_.loop.Now();
+  if (answer_.not_run) {
+    OnNotRun(answer_);
+    return;
+  }
+  if (answer_begun_ && answer_.status < kFirstNonSuccessStatus) {
+    context_.service_times.Of(service_name_)
+        .OnStreamEnd(TokensExpected(), now - first_byte_at_);
+    UnassignServer();
+    exchange_->Write(events_.TakePartial());
+    exchange_->End();
+    context_.suspects.OnAnswered(fingerprint_);
+    Finish("answered", answer_.status, "");
+    return;
+  }
+  const bool failed = answer_.status >= kFirstServerErrorStatus;
+  const Duration taken = TimeAtServer(now);
+  routing::ServiceTimeEstimate& estimate =
+      context_.service_times.Of(service_name_);
+  server_->history().OnAnswer(
+      now, !failed,
+      Seconds(taken) / (Seconds(estimate.ServiceTime()) * waves_));
+  if (!failed && !IsGeneration()) {
+    estimate.OnAnswer(waves_, taken);
+  }
+  UnassignServer();
+  if (answer_begun_) {
+    // The server refused to resume a stream that the caller has partly
+    // received.
+    Fail("the server failed to resume the stream");
+    return;
+  }
+  if (failed && repeatable()) {
+    earlier_may_have_run_ = true;
+    if (TryRetry("failure", "server failure")) {
+      return;
+    }
+  }
+  context_.suspects.OnAnswered(fingerprint_);
+  exchange_->Respond(answer_.status, answer_.forwarded_fields, body_);
+  first_byte_at_ = first_byte_at_ == TimePoint{} ? now : first_byte_at_;
+  Finish(failed ? "server_failure" : "answered", answer_.status, "");
+}
+
+void RequestFlow::OnNotRun(const ServerAnswer& answer) {
+  const std::string status = std::to_string(answer.status);
+  const std::string server = server_->record().id;
+  if (answer.status == kConflict && ++recomputations_ <= kMaxRecomputations &&
+      !answer_begun_) {
+    context_.recorder.OnRetry(request_.id, "stage", server,
+                              "the stage results no longer exist");
+    UnassignServer();
+    tried_.pop_back();
+    ReleaseResults(
+        plan_->RecomputeInputs(static_cast<std::uint32_t>(plan_->stages())));
+    Advance();
+    return;
+  }
+  server_->history().OnConnectionFailure(context_.loop.Now());
+  UnassignServer();
+  may_have_run_ = earlier_may_have_run_;
+  if (TryRetry("refused", status)) {
+    return;
+  }
+  Refuse(ErrorKind::kOverloaded, "the server refused the request: " + status);
+}
+
+void RequestFlow::OnAttemptFailure(RelayFailure failure) {
+  const TimePoint now = context_.loop.Now();
+  const std::string server = server_->record().id;
+  server_->history().OnConnectionFailure(now);
+  context_.loop.Cancel(answer_timer_);
+  if (failure == RelayFailure::kNotSent) {
+    context_.suspects.OnServerDown(now, server);
+    --attempts_;
+    may_have_run_ = earlier_may_have_run_;
+    UnassignServer();
+    context_.recorder.OnRetry(request_.id, "connect", server, "no connection");
+    SendToServer();
+    return;
+  }
+  ReportCrash();
+  earlier_may_have_run_ = true;
+  UnassignServer();
+  events_.DropPartial();
+  if (repeatable() && TryRetry("broken", "the connection broke")) {
+    return;
+  }
+  Fail("the server's answer broke off");
+}
+
+void RequestFlow::ReportCrash() {
+  context_.suspects.OnCrash(
+      context_.loop.Now(), server_->record().id,
+      static_cast<std::uint64_t>(server_->record().started_at_unix_ms),
+      {&fingerprint_, 1});
+}
+
+bool RequestFlow::CanRetry() const {
+  return attempts_ < route_->max_attempts && TimeLeft() > kMinAnswerTime;
+}
+
+bool RequestFlow::TryRetry(std::string_view what, std::string_view reason) {
+  const std::size_t daemons = context_.cluster.live_daemons();
+  if (!CanRetry() || !context_.retry_budgets.TryTake(service_name_, daemons)) {
+    return false;
+  }
+  context_.recorder.OnRetry(request_.id, what,
+                            tried_.empty() ? "" : tried_.back(), reason);
+  old_attempts_.push_back(std::move(attempt_));
+  if (plan_->FinalInputs().empty() && !route_->stages.empty() &&
+      answer_begun_) {
+    // The stage results were released after the first attempt had read them.
+    ReleaseResults(
+        plan_->RecomputeInputs(static_cast<std::uint32_t>(plan_->stages())));
+    Advance();
+    return true;
+  }
+  SendToServer();
+  return true;
+}
+
+void RequestFlow::OnFirstByteOverdue() {
+  if (server_ == nullptr || answer_begun_ || answer_.status != 0) {
+    return;
+  }
+  const Ptr keep(this);
+  if (!CanRetry()) {
+    return;
+  }
+  routing::RecordOverdue(context_.loop.Now(), sent_at_, *server_);
+  RetryAndCancel("overdue", "no answer yet");
+}
+
+void RequestFlow::RetryAndCancel(std::string_view what,
+                                 std::string_view reason) {
+  earlier_may_have_run_ = true;
+  if (TryRetry(what, reason)) {
+    old_attempts_.back()->Cancel();
+  }
+}
+
+}  // namespace gentianroute::gateway
--- /dev/null
+++ b/packages/gateway/src/stage_router.cc
@@ -0,0 +1,306 @@
+#include "gentianroute/gateway/stage_router.h"
+
+#include <algorithm>
+#include <iterator>
+#include <utility>
+
+#include "gentianroute/observe/log.h"
+
+namespace gentianroute::gateway {
+namespace {
+
+/// After this many failed schedulers this daemon schedules the group itself:
+/// the smaller calls that result cost less than a longer delay of the request.
+constexpr std::uint32_t kMaxSchedulerAttempts = 2;
+
+/// Releases are sent to the schedulers in batches with this period.
+constexpr Duration kReleasePeriod = std::chrono::milliseconds(15);
+
+}  // namespace
+
+/// One submitted group: chooses a pool, submits the group to the pool's
+/// scheduler, and starts again if the scheduler fails.
+class StageRouter::RoutedGroup final : public GroupHandle {
+ public:
+  RoutedGroup(StageRouter& router,
+              std::string_view service,
+              routing::StageGroup group,
+              routing::PoolWork pool_work,
+              Done done)
+      : router_(router),
+        service_(service),
+        group_(std::move(group)),
+        pool_work_(std::move(pool_work)),
+        done_(std::move(done)) {
+    router_.groups_.push_back(this);
+    Submit();
+  }
+  ~RoutedGroup() override {
+    router_.loop_.Cancel(timer_);
+    auto& all = router_.groups_;
+    all.erase(std::remove(all.begin(), all.end(), this), all.end());
+  }
+
+  void OnPeerGone(std::string_view peer) {
+    if (scheduler_ == peer) {
+      ResubmitLater();
+    }
+  }
+
+ private:
+  void ResubmitLater() {
+    scheduler_.clear();
+    router_.loop_.Cancel(timer_);
+    timer_ = router_.loop_.After(Duration{0}, [this] { Submit(); });
+  }
+
+  void Submit() {
+    const TimePoint now = router_.loop_.Now();
+    const routing::StageCapacity* capacity = router_.CapacityOf(service_);
+    const auto pools = router_.PoolsOf(now, service_);
+    pool_work_.time_left = group_.soft_deadline - now;
+    const routing::PoolState* pool =
+        capacity == nullptr ? nullptr
+                            : routing::ChoosePool(pools, pool_work_, *capacity,
+                                                  router_.topology_);
+    if (pool == nullptr) {
+      timer_ = router_.loop_.After(Duration{0}, [this] {
+        End({routing::StageFailure::kNoServer, {}});
+      });
+      return;
+    }
+    data_centre_ = pool->data_centre;
+    const std::uint32_t calls =
+        (group_.pieces + capacity->batch - 1) / capacity->batch;
+    router_.pool_states_.OnWorkSubmitted(
+        service_, data_centre_,
+        capacity->piece_time * group_.pieces +
+            capacity->call_overhead * calls / 2);
+    SubmitToScheduler();
+  }
+
+  void SubmitToScheduler() {
+    scheduler_ = router_.cluster_.SchedulerOf({service_, data_centre_});
+    const bool here = router_.cluster_.IsSelf(scheduler_) ||
+                      scheduler_attempts_ >= kMaxSchedulerAttempts;
+    ++scheduler_attempts_;
+    LogEvent("stage_handed")
+        .ForRequest(group_.request, LogPriority::kLow)
+        .Field("stage", group_.stage)
+        .Field("service", service_)
+        .Field("data_centre", data_centre_)
+        .Field("scheduler", here ? "here" : scheduler_)
+        .Field("pieces", group_.pieces)
+        .Field("wanted_ms",
+               WholeMilliseconds(group_.soft_deadline - router_.loop_.Now()))
+        .Field("limit_ms",
+               WholeMilliseconds(group_.deadline - router_.loop_.Now()));
+    if (here) {
+      scheduler_.clear();
+      handle_ = router_.local_scheduler_.Run(
+          service_, data_centre_, group_,
+          [this](GroupOutcome outcome) { End(std::move(outcome)); });
+      return;
+    }
+    handle_ = router_.cluster_.RunGroupAt(
+        scheduler_, {service_, data_centre_}, group_,
+        [this](std::optional<GroupOutcome> outcome) {
+          if (outcome) {
+            End(std::move(*outcome));
+            return;
+          }
+          LogEvent("scheduler_broke_off", LogLevel::kWarning)
+              .ForRequest(group_.request, LogPriority::kHigh)
+              .Field("service", service_)
+              .Field("scheduler", scheduler_);
+          ResubmitLater();
+        });
+  }
+
+  void End(GroupOutcome outcome) {
+    const Done done = std::move(done_);
+    done({std::move(outcome), data_centre_});
+  }
+
+  StageRouter& router_;
+  std::string service_;
+  routing::StageGroup group_;
+  routing::PoolWork pool_work_;
+  Done done_;
+  std::string data_centre_;
+  std::string scheduler_;
+  std::uint32_t scheduler_attempts_ = 0;
+  std::unique_ptr<GroupHandle> handle_;
+  TimerId timer_;
+};
+
+StageRouter::StageRouter(EventLoop& loop,
+                         Cluster& cluster,
+                         StageScheduler& local_scheduler,
+                         routing::ServerDirectory& servers,
+                         const routing::Topology& topology)
+    : loop_(loop),
+      cluster_(cluster),
+      local_scheduler_(local_scheduler),
+      servers_(servers),
+      topology_(topology) {
+  release_timer_ = loop_.Every(kReleasePeriod, [this] { FlushReleases(); });
+}
+
+StageRouter::~StageRouter() {
+  loop_.Cancel(release_timer_);
+}
+
+void StageRouter::OnBacklog(TimePoint now,
+                            std::string_view service,
+                            std::string_view data_centre,
+                            routing::Backlog backlog) {
+  pool_states_.Report(
+      now, {std::string(service), std::string(data_centre), 0, backlog});
+}
+
+const routing::StageCapacity* StageRouter::CapacityOf(
+    std::string_view service) const {
+  const routing::ServiceSpec* spec =
+      table_ == nullptr ? nullptr : table_->FindService(service);
+  return spec != nullptr && spec->stage ? &*spec->stage : nullptr;
+}
+
+std::vector<routing::PoolState> StageRouter::PoolsOf(TimePoint now,
+                                                     std::string_view service) {
+  std::map<std::string, std::uint32_t> open;
+  for (const routing::ServerPtr& server : servers_.ServersOf(service)) {
+    const bool usable = server->open() && !server->history().IsAvoided(now);
+    open[server->record().data_centre] += usable ? 1 : 0;
+  }
+  for (const auto& [data_centre, servers] : open) {
+    pool_states_.SetServers(service, data_centre, servers);
+  }
+  std::vector<routing::PoolState> pools = pool_states_.PoolsOf(now, service);
+  std::erase_if(pools, [&open](const routing::PoolState& pool) {
+    return !open.contains(pool.data_centre);
+  });
+  return pools;
+}
+
+std::unique_ptr<GroupHandle> StageRouter::Run(
+    std::string_view service,
+    routing::StageGroup group,
+    std::vector<routing::PlacedBytes> inputs,
+    std::string_view reader_data_centre,
+    Done done) {
+  const routing::StageCapacity* capacity = CapacityOf(service);
+  routing::PoolWork pool_work;
+  pool_work.pieces = group.pieces;
+  pool_work.piece_time =
+      capacity == nullptr ? Duration{0} : capacity->piece_time;
+  pool_work.inputs = std::move(inputs);
+  pool_work.result_bytes = group.result_bytes * group.pieces;
+  pool_work.reader_data_centre = reader_data_centre;
+  return std::make_unique<RoutedGroup>(*this, service, std::move(group),
+                                       std::move(pool_work), std::move(done));
+}
+
+void StageRouter::Release(std::string_view service,
+                          std::string_view data_centre,
+                          std::vector<std::string> results) {
+  auto& pending =
+      pending_releases_[{std::string(service), std::string(data_centre)}];
+  pending.insert(pending.end(), std::make_move_iterator(results.begin()),
+                 std::make_move_iterator(results.end()));
+}
+
+void StageRouter::FlushReleases() {
+  for (auto& [pool, results] : std::exchange(pending_releases_, {})) {
+    const std::string& scheduler = cluster_.SchedulerOf(pool);
+    if (cluster_.IsSelf(scheduler)) {
+      local_scheduler_.Release(pool.service, pool.data_centre,
+                               std::move(results));
+    } else {
+      cluster_.ReleaseAt(scheduler, pool, results);
+    }
+  }
+}
+
+Duration StageRouter::EstimatedTime(TimePoint now,
+                                    const routing::StagePlan& plan) {
+  std::vector<Duration> done(plan.stages(), Duration{0});
+  Duration last{0};
+  for (std::uint32_t stage = 0; stage < plan.stages(); ++stage) {
+    for (const std::uint32_t input : plan.spec(stage).after) {
+      done[stage] = std::max(done[stage], done[input]);
+    }
+    const std::string& service = plan.spec(stage).service;
+    const routing::StageCapacity* capacity = CapacityOf(service);
+    if (plan.pieces(stage) == 0 || capacity == nullptr) {
+      continue;
+    }
+    const auto pools = PoolsOf(now, service);
+    const routing::PoolWork pool_work{plan.pieces(stage), capacity->piece_time};
+    const routing::PoolState* pool =
+        routing::ChoosePool(pools, pool_work, *capacity, topology_);
+    if (pool != nullptr) {
+      done[stage] += routing::EstimatedPoolTime(*pool, pool_work, *capacity) +
+                     topology_.RoundTrip(pool->data_centre);
+    }
+    last = std::max(last, done[stage]);
+  }
+  return last;
+}
+
+Duration StageRouter::MinTimeAfter(const routing::StagePlan& plan,
+                                   std::uint32_t stage) const {
+  return plan.LongestChainAfter(stage, [this](const routing::StageSpec& spec) {
+    const routing::StageCapacity* capacity = CapacityOf(spec.service);
+    return capacity == nullptr ? Duration{0}
+                               : capacity->call_overhead + capacity->piece_time;
+  });
+}
+
+Duration StageRouter::TypicalTimeAfter(const routing::StagePlan& plan,
+                                       std::uint32_t stage) const {
+  return plan.LongestChainAfter(stage, [this](const routing::StageSpec& spec) {
+    const routing::StageCapacity* capacity = CapacityOf(spec.service);
+    return capacity == nullptr ? Duration{0}
+                               : capacity->TypicalCallTime() * 3 / 2;
+  });
+}
+
+Duration StageRouter::BacklogTime(TimePoint now,
+                                  const routing::StagePlan& plan) {
+  Duration longest{0};
+  for (std::uint32_t stage = 0; stage < plan.stages(); ++stage) {
+    Duration shortest = Duration::max();
+    for (const routing::PoolState& pool :
+         PoolsOf(now, plan.spec(stage).service)) {
+      if (pool.servers > 0) {
+        shortest = std::min(shortest, pool.backlog.all / pool.servers);
+      }
+    }
+    if (plan.pieces(stage) > 0 && shortest != Duration::max()) {
+      longest = std::max(longest, shortest);
+    }
+  }
+  return longest;
+}
+
+bool StageRouter::HasServers(const routing::StagePlan& plan) const {
+  for (std::uint32_t stage = 0; stage < plan.stages(); ++stage) {
+    const auto& servers = servers_.ServersOf(plan.spec(stage).service);
+    const bool open = std::any_of(
+        servers.begin(), servers.end(),
+        [](const routing::ServerPtr& server) { return server->open(); });
+    if (plan.pieces(stage) > 0 && !open) {
+      return false;
+    }
+  }
+  return true;
+}
+
+void StageRouter::OnPeerGone(std::string_view peer) {
+  for (RoutedGroup* group : std::vector<RoutedGroup*>(groups_)) {
+    group->OnPeerGone(peer);
+  }
+}
+
+}  // namespace gentianroute::gateway
--- a/packages/gateway/tests/start_queue_test.cc
+++ b/packages/gateway/tests/start_queue_test.cc
@@ -9,10 +9,10 @@
 
 namespace {
 
-constexpr TimePoint kStarted = TimePoint{} + std::chrono::seconds(5);
-constexpr Duration kMs = std::chrono::milliseconds(1);
+constexpr TimePoint kStartTime = TimePoint{} + std::chrono::seconds(5);
+constexpr Duration kMillisecond = std::chrono::milliseconds(1);
 
-/// A caller's request that nobody answers here.
+/// A caller's request whose response is discarded.
 class FakeExchange final : public RelayExchange {
  public:
   void Respond(int, const HttpHeaders&, std::string_view) override {}
@@ -21,7 +21,7 @@
   void End() override {}
   void Abort() override {}
 
-  void CallerLeaves() {
+  void Disconnect() {
     if (on_disconnect_) {
       on_disconnect_();
     }
@@ -35,55 +35,56 @@
 
 }  // namespace
 
-// All daemons were lost. Callers are back with the sockets, a tenth of a second
-// before the daemon has read its configuration; refused then, each would have
-// spent one of its few tries. In the order in which they came, they are served
-// once it is known.
-Test(start_queue, requests_of_the_first_moments_come_out_in_order) {
-  StartQueue queue(kStarted);
+// After a restart of all daemons, callers reconnect about 0.1 s before the
+// configuration has been read. If their requests were refused, each caller
+// would lose one of its few retries. They are served in the order of arrival
+// instead.
+Test(start_queue, early_requests_are_popped_in_order) {
+  StartQueue queue(kStartTime);
   const FakePtr first = NewRequest();
   const FakePtr second = NewRequest();
-  cr_assert(queue.Keep(kStarted + 3 * kMs, first));
-  cr_assert(queue.Keep(kStarted + 90 * kMs, second));
-  cr_assert(queue.Take() == first);
-  cr_assert(queue.Take() == second);
-  cr_assert(queue.Take() == nullptr);
+  cr_assert(queue.TryPush(kStartTime + 3 * kMillisecond, first));
+  cr_assert(queue.TryPush(kStartTime + 90 * kMillisecond, second));
+  cr_assert(queue.Pop() == first);
+  cr_assert(queue.Pop() == second);
+  cr_assert(queue.Pop() == nullptr);
 }
 
-// The store is away as the daemon starts: callers learn at once that they have
-// to come back, and don't wait for an outage to end.
-Test(start_queue, request_after_the_first_moments_is_not_kept) {
-  StartQueue queue(kStarted);
-  const TimePoint later = kStarted + StartQueue::kLongest;
-  cr_assert(queue.IsOver(later));
-  cr_assert_not(queue.Keep(later, NewRequest()));
+// If the store is unavailable when the daemon starts, requests are refused at
+// once after the maximum wait, so that callers don't wait for the end of the
+// outage.
+Test(start_queue, request_after_the_maximum_wait_is_rejected) {
+  StartQueue queue(kStartTime);
+  const TimePoint later = kStartTime + StartQueue::kMaxWait;
+  cr_assert(queue.IsTimedOut(later));
+  cr_assert_not(queue.TryPush(later, NewRequest()));
 }
 
-Test(start_queue, caller_that_leaves_is_forgotten) {
-  StartQueue queue(kStarted);
-  const FakePtr gone = NewRequest();
-  const FakePtr stays = NewRequest();
-  queue.Keep(kStarted, gone);
-  queue.Keep(kStarted, stays);
-  gone->CallerLeaves();
-  cr_assert(queue.Take() == stays);
-  cr_assert(queue.Take() == nullptr);
+Test(start_queue, request_of_disconnected_caller_is_removed) {
+  StartQueue queue(kStartTime);
+  const FakePtr disconnected = NewRequest();
+  const FakePtr connected = NewRequest();
+  queue.TryPush(kStartTime, disconnected);
+  queue.TryPush(kStartTime, connected);
+  disconnected->Disconnect();
+  cr_assert(queue.Pop() == connected);
+  cr_assert(queue.Pop() == nullptr);
 }
 
-Test(start_queue, no_more_than_its_bound_waits) {
-  StartQueue queue(kStarted);
-  for (std::size_t i = 0; i < StartQueue::kMost; ++i) {
-    cr_assert(queue.Keep(kStarted, NewRequest()));
+Test(start_queue, request_beyond_the_maximum_count_is_rejected) {
+  StartQueue queue(kStartTime);
+  for (std::size_t i = 0; i < StartQueue::kMaxRequests; ++i) {
+    cr_assert(queue.TryPush(kStartTime, NewRequest()));
   }
-  cr_assert_not(queue.Keep(kStarted, NewRequest()));
+  cr_assert_not(queue.TryPush(kStartTime, NewRequest()));
 }
 
-Test(start_queue, end_of_the_daemon_lets_go_of_what_waits) {
-  const FakePtr waiting = NewRequest();
+Test(start_queue, destruction_releases_queued_requests) {
+  const FakePtr queued = NewRequest();
   {
-    StartQueue queue(kStarted);
-    queue.Keep(kStarted, waiting);
+    StartQueue queue(kStartTime);
+    queue.TryPush(kStartTime, queued);
   }
-  cr_assert_eq(waiting->use_count(), 1);
-  waiting->CallerLeaves();
+  cr_assert_eq(queued->use_count(), 1);
+  queued->Disconnect();
 }
--- a/packages/platform/include/gentianroute/platform/http_platform.h
+++ b/packages/platform/include/gentianroute/platform/http_platform.h
@@ -11,8 +11,8 @@
 
 namespace gentianroute {
 
-/// @brief All three services of the platform over HTTP with JSON bodies; the
-/// protocol is in docs/PLATFORM.md.
+/// @brief Client of the platform's three services over HTTP with JSON bodies;
+/// docs/PLATFORM.md describes the protocol.
 class HttpPlatform final : public TableService,
                            public ObjectStore,
                            public HostDirectory {
@@ -33,16 +33,19 @@
   void Put(std::string name,
            std::string content,
            std::function<void(bool)> done) override;
-  void List(std::function<void(HostListing)> done) override;
+  void List(std::function<void(HostListResult)> done) override;
 
  private:
+  /// Sends a call to the platform's address; calls `done` with an incomplete
+  /// result after the timeout.
   void Call(HttpCall call, std::function<void(HttpResult)> done);
-  HostListing ListingOf(const HttpResult& result);
+  HostListResult ParseHostList(const HttpResult& result);
 
   EventLoop& loop_;
   HttpClient& client_;
   Options options_;
-  std::string host_list_tag_;  ///< ETag of the last list
+  std::string
+      host_list_etag_;  ///< ETag of the last list received; empty if none
 };
 
 }  // namespace gentianroute
--- a/standins/prefix_cache.h
+++ b/standins/prefix_cache.h
@@ -11,20 +11,21 @@
 
 namespace gentianroute::standin {
 
-/// @brief Prompt prefixes that an engine holds, least recently used out first.
-/// Numbers its changes and keeps the last ones for `GET /v1/cache-events`.
+/// @brief LRU cache of prompt prefixes. Numbers its changes and retains the
+/// latest ones for `GET /v1/cache-events`.
 class PrefixCache {
  public:
   explicit PrefixCache(std::size_t capacity) : capacity_(capacity) {}
 
-  /// @brief Looks a prefix up, and holds it from now on.
-  /// @param prefix its key, as docs/BACKENDS.md says
-  /// @param lost the event takes its number but is never published
-  /// @return whether it was held
+  /// @brief Looks a prefix up and inserts it if it is missing.
+  /// @param prefix its key as described in docs/BACKENDS.md
+  /// @param lost whether an event of this call uses up a sequence number
+  /// without being published
+  /// @return whether the prefix was cached before
   bool Touch(const std::string& prefix, bool lost) {
     const auto found = std::ranges::find(prefixes_, prefix);
-    const bool held = found != prefixes_.end();
-    if (held) {
+    const bool cached = found != prefixes_.end();
+    if (cached) {
       prefixes_.erase(found);
     }
     prefixes_.push_front(prefix);
@@ -33,15 +34,15 @@
       removed.push_back(prefixes_.back());
       prefixes_.pop_back();
     }
-    if (!held) {
+    if (!cached) {
       Publish(prefix, std::move(removed), lost);
     }
-    return held;
+    return cached;
   }
 
-  std::uint64_t last_sequence() const { return sequence_; }
+  std::uint64_t last_sequence() const { return last_sequence_; }
 
-  /// @brief Events numbered above `after`, oldest first.
+  /// @brief Retained events with a sequence number above `after`, oldest first.
   nlohmann::json EventsAfter(std::uint64_t after) const {
     nlohmann::json events = nlohmann::json::array();
     for (const nlohmann::json& event : events_) {
@@ -53,17 +54,17 @@
   }
 
  private:
-  static constexpr std::size_t kEventsKept = 256;
+  static constexpr std::size_t kMaxEvents = 256;
 
   void Publish(const std::string& added, nlohmann::json removed, bool lost) {
-    ++sequence_;
+    ++last_sequence_;
     if (lost) {
       return;
     }
-    events_.push_back({{"sequence", sequence_},
+    events_.push_back({{"sequence", last_sequence_},
                        {"added", nlohmann::json::array({added})},
                        {"removed", std::move(removed)}});
-    if (events_.size() > kEventsKept) {
+    if (events_.size() > kMaxEvents) {
       events_.pop_front();
     }
   }
@@ -71,7 +72,7 @@
   std::size_t capacity_;
   std::list<std::string> prefixes_;
   std::deque<nlohmann::json> events_;
-  std::uint64_t sequence_ = 0;
+  std::uint64_t last_sequence_ = 0;
 };
 
 }  // namespace gentianroute::standin
--- a/tests/random/fake_store.h
+++ b/tests/random/fake_store.h
@@ -9,22 +9,25 @@
 
 namespace gentianroute::testing {
 
-/// @brief The table service behind a network that loses answers. A write may
-/// take effect at once, never, or seconds after its answer was lost.
+/// @brief Table service with outages and a network that loses messages. If
+/// the answer to a write is lost, the write may take effect up to seconds later
+/// or never.
 class FakeStore {
  public:
-  FakeStore(EventQueue& events, Dice& dice) : events_(events), dice_(dice) {}
+  FakeStore(EventQueue& events, RandomSource& random)
+      : events_(events), random_(random) {}
 
   void Transact(TableTransaction transaction,
                 std::function<void(TransactResult)> done);
   void Read(std::vector<TableKey> keys, std::function<void(ReadResult)> done);
+  /// @brief Loses every message for some time.
   void FailFor(Duration duration) { down_until_ = events_.now() + duration; }
 
  private:
-  bool Down() const { return events_.now() < down_until_; }
+  bool IsDown() const { return events_.now() < down_until_; }
 
   EventQueue& events_;
-  Dice& dice_;
+  RandomSource& random_;
   FakeTable table_;
   TimePoint down_until_{};
 };
