--- a/tests/soak/fault_proxy.cc
+++ b/tests/soak/fault_proxy.cc
@@ -14,64 +14,65 @@
 }  // namespace
 
 /// One connection and its continuation to the far end.
-class FaultProxy::Pair {
+class FaultProxy::Connection {
  public:
-  Pair(FaultProxy& proxy, st_h2o_socket_t* accepted)
-      : proxy_(proxy), to_far_(*this, true), to_near_(*this, false) {
-    near_ = std::make_unique<StreamSocket>(accepted, to_far_);
-    far_ = std::make_unique<StreamSocket>(proxy.loop_, "127.0.0.1",
-                                          proxy.far_port_, to_near_);
+  Connection(FaultProxy& proxy, st_h2o_socket_t* accepted)
+      : proxy_(proxy), to_upstream_(*this, true), to_client_(*this, false) {
+    client_ = std::make_unique<StreamSocket>(accepted, to_upstream_);
+    upstream_ = std::make_unique<StreamSocket>(
+        proxy.loop_, "127.0.0.1", proxy.upstream_port_, to_client_);
   }
-  ~Pair() { proxy_.loop_.Cancel(timer_); }
+  ~Connection() { proxy_.loop_.Cancel(timer_); }
 
   void Close() {
-    near_.reset();
-    far_.reset();
-    held_.clear();
+    client_.reset();
+    upstream_.reset();
+    pending_.clear();
   }
-  bool closed() const { return near_ == nullptr; }
+  bool closed() const { return client_ == nullptr; }
   void Silence() { silenced_ = true; }
 
   /// Hands on what the mode lets through now.
-  void Pump() {
-    while (!held_.empty() && !closed() && MayPass(held_.front())) {
-      const Held next = std::move(held_.front());
-      held_.pop_front();
-      HandOn(next);
+  void ForwardPending() {
+    while (!pending_.empty() && !closed() && CanPass(pending_.front())) {
+      const PendingData next = std::move(pending_.front());
+      pending_.pop_front();
+      Forward(next);
     }
   }
 
  private:
-  struct Held {
+  struct PendingData {
     std::string data;
     TimePoint arrived{};
-    bool to_far = false;
+    bool to_upstream = false;
     bool end = false;
   };
-  class Side final : public StreamSocket::Observer {
+  class SocketObserver final : public StreamSocket::Observer {
    public:
-    Side(Pair& pair, bool to_far) : pair_(pair), to_far_(to_far) {}
+    SocketObserver(Connection& connection, bool to_upstream)
+        : connection_(connection), to_upstream_(to_upstream) {}
     void OnData(std::string_view data) override {
-      pair_.Take({std::string(data), {}, to_far_, false});
+      connection_.Enqueue({std::string(data), {}, to_upstream_, false});
     }
     void OnEnd(StreamEnd /*end*/) override {
-      pair_.Take({{}, {}, to_far_, true});
+      connection_.Enqueue({{}, {}, to_upstream_, true});
     }
 
    private:
-    Pair& pair_;
-    bool to_far_;
+    Connection& connection_;
+    bool to_upstream_;
   };
 
-  void Take(Held held) {
-    held.arrived = proxy_.loop_.Now();
-    held_.push_back(std::move(held));
+  void Enqueue(PendingData pending) {
+    pending.arrived = proxy_.loop_.Now();
+    pending_.push_back(std::move(pending));
     // A socket must not be destroyed by its own callback.
     proxy_.loop_.Cancel(timer_);
-    timer_ = proxy_.loop_.After(Duration{0}, [this] { Pump(); });
+    timer_ = proxy_.loop_.After(Duration{0}, [this] { ForwardPending(); });
   }
 
-  bool MayPass(const Held& held) {
+  bool CanPass(const PendingData& pending) {
     if (silenced_) {
       return false;
     }
@@ -82,47 +83,47 @@
       case Mode::kSilent:
         return false;
       case Mode::kOneWayCut:
-        return held.to_far;
+        return pending.to_upstream;
       case Mode::kDelayed:
-        return PassesAfterDelay(held);
+        return PassesAfterDelay(pending);
     }
     return true;
   }
 
-  bool PassesAfterDelay(const Held& held) {
-    const TimePoint due = held.arrived + proxy_.delay_;
+  bool PassesAfterDelay(const PendingData& pending) {
+    const TimePoint due = pending.arrived + proxy_.delay_;
     if (proxy_.loop_.Now() >= due) {
       return true;
     }
     proxy_.loop_.Cancel(timer_);
-    timer_ = proxy_.loop_.At(due, [this] { Pump(); });
+    timer_ = proxy_.loop_.At(due, [this] { ForwardPending(); });
     return false;
   }
 
-  void HandOn(const Held& held) {
-    if (held.end) {
+  void Forward(const PendingData& pending) {
+    if (pending.end) {
       Close();
       return;
     }
-    (held.to_far ? far_ : near_)->Write(held.data);
+    (pending.to_upstream ? upstream_ : client_)->Write(pending.data);
   }
 
   FaultProxy& proxy_;
-  Side to_far_;
-  Side to_near_;
-  std::unique_ptr<StreamSocket> near_;
-  std::unique_ptr<StreamSocket> far_;
-  std::deque<Held> held_;
+  SocketObserver to_upstream_;
+  SocketObserver to_client_;
+  std::unique_ptr<StreamSocket> client_;
+  std::unique_ptr<StreamSocket> upstream_;
+  std::deque<PendingData> pending_;
   TimerId timer_;
   bool silenced_ = false;
 };
 
-FaultProxy::FaultProxy(EventLoop& loop, std::uint16_t far_port)
-    : loop_(loop), far_port_(far_port) {
+FaultProxy::FaultProxy(EventLoop& loop, std::uint16_t upstream_port)
+    : loop_(loop), upstream_port_(upstream_port) {
   listener_ = loop.Listen("127.0.0.1", 0, [this](st_h2o_socket_t* socket) {
-    pairs_.push_back(std::make_unique<Pair>(*this, socket));
+    connections_.push_back(std::make_unique<Connection>(*this, socket));
     if (mode_ == Mode::kRefusing) {
-      pairs_.back()->Close();
+      connections_.back()->Close();
     }
   });
   sweep_timer_ = loop.Every(kSweepPeriod, [this] { Sweep(); });
@@ -135,25 +136,26 @@
 void FaultProxy::SetMode(Mode mode, Duration delay) {
   mode_ = mode;
   delay_ = delay;
-  for (const auto& pair : pairs_) {
-    pair->Pump();
+  for (const auto& connection : connections_) {
+    connection->ForwardPending();
   }
 }
 
 void FaultProxy::Reset() {
-  for (const auto& pair : pairs_) {
-    pair->Close();
+  for (const auto& connection : connections_) {
+    connection->Close();
   }
 }
 
-void FaultProxy::SilenceOpenOnes() {
-  for (const auto& pair : pairs_) {
-    pair->Silence();
+void FaultProxy::SilenceOpenConnections() {
+  for (const auto& connection : connections_) {
+    connection->Silence();
   }
 }
 
 void FaultProxy::Sweep() {
-  pairs_.remove_if([](const auto& pair) { return pair->closed(); });
+  connections_.remove_if(
+      [](const auto& connection) { return connection->closed(); });
 }
 
 }  // namespace gentianroute::soak
--- a/tests/soak/fault_proxy.h
+++ b/tests/soak/fault_proxy.h
@@ -22,7 +22,7 @@
     kRefusing,   ///< each connection is closed at once
   };
 
-  FaultProxy(EventLoop& loop, std::uint16_t far_port);
+  FaultProxy(EventLoop& loop, std::uint16_t upstream_port);
   ~FaultProxy();
 
   std::uint16_t port() const { return listener_->port(); }
@@ -32,19 +32,19 @@
   void Reset();
   /// @brief Connections that are open now pass nothing any more, for good; new
   /// ones work.
-  void SilenceOpenOnes();
-  bool harmed() const { return mode_ != Mode::kPass; }
+  void SilenceOpenConnections();
+  bool impaired() const { return mode_ != Mode::kPass; }
 
  private:
-  class Pair;
+  class Connection;
 
   void Sweep();
 
   EventLoop& loop_;
-  std::uint16_t far_port_;
+  std::uint16_t upstream_port_;
   Mode mode_ = Mode::kPass;
   Duration delay_{0};
-  std::list<std::unique_ptr<Pair>> pairs_;
+  std::list<std::unique_ptr<Connection>> connections_;
   std::unique_ptr<EventLoop::Listener> listener_;
   TimerId sweep_timer_;
 };
--- /dev/null
+++ b/tests/soak/invariant_checker.cc
@@ -0,0 +1,308 @@
+#include "invariant_checker.h"
+
+#include <algorithm>
+#include <utility>
+
+#include "gentianroute/loop/message_parser.h"
+
+namespace gentianroute::soak {
+namespace {
+
+constexpr int kFirstFailure = 300;
+constexpr int kUnauthorised = 401;
+constexpr int kNotFound = 404;
+constexpr int kTooMany = 429;
+constexpr int kUnavailable = 503;
+
+constexpr std::string_view kSignature = "Gentianroute-Response-Signature";
+constexpr std::string_view kRequestId = "Gentianroute-Request-Id";
+
+bool RunsAtMostOnce(RequestKind kind) {
+  return kind == RequestKind::kNonIdempotent ||
+         kind == RequestKind::kNonResumableStream;
+}
+
+bool IsStream(RequestKind kind) {
+  return kind == RequestKind::kResumableStream ||
+         kind == RequestKind::kNonResumableStream;
+}
+
+std::string WholeStream(std::string_view id, std::uint32_t events) {
+  std::string text;
+  for (std::uint32_t i = 1; i <= events; ++i) {
+    text += InvariantChecker::Event(id, i, events);
+  }
+  return text;
+}
+
+}  // namespace
+
+std::string InvariantChecker::PlainBody(std::string_view id,
+                                        std::string_view signature) {
+  constexpr std::size_t kBytes = 700;
+  std::string text = std::string(id) + " by " + std::string(signature) + " ";
+  text.resize(kBytes, '.');
+  return text;
+}
+
+std::string InvariantChecker::Event(std::string_view id,
+                                    std::uint32_t number,
+                                    std::uint32_t events) {
+  const std::string text = std::to_string(number);
+  return "id: " + text + "\ndata: " + std::string(id) + " " + text +
+         (number == events ? " last" : "") + "\n\n";
+}
+
+InvariantChecker::Request* InvariantChecker::Find(const std::string& id) {
+  const auto found = requests_.find(id);
+  return found == requests_.end() ? nullptr : &found->second;
+}
+
+std::uint64_t InvariantChecker::SeenVersion(std::size_t daemon) const {
+  const auto found = daemons_.find(daemon);
+  return found == daemons_.end() ? 0 : found->second.seen_version;
+}
+
+void InvariantChecker::OnRequestSent(const std::string& id, SentRequest sent) {
+  Request& request = requests_[id];
+  request = {};
+  request.seen_version = SeenVersion(sent.daemon);
+  request.sent = std::move(sent);
+}
+
+void InvariantChecker::OnCallerCancelled(const std::string& id) {
+  requests_[id].ended = true;
+}
+
+void InvariantChecker::OnNoResponse(const std::string& id) {
+  const Request& request = requests_[id];
+  if (!request.daemon_killed && !request.daemon_stopped) {
+    AddViolation(id + ": no answer at all");
+  }
+}
+
+void InvariantChecker::OnResponse(const std::string& id,
+                                  const ReceivedResponse& response) {
+  Request& request = requests_[id];
+  request.ended = true;
+  ++answered_;
+  if (response.malformed) {
+    AddViolation(id + ": bytes that are no answer");
+    return;
+  }
+  if (!response.complete) {
+    CheckIncompleteResponse(id, request, response);
+    return;
+  }
+  const std::string echoed = FieldValue(response.fields, kRequestId);
+  if (!echoed.empty() && echoed != id) {
+    AddViolation(id + ": got the answer to " + echoed);
+    return;
+  }
+  const bool from_server = FindField(response.fields, kSignature) != nullptr;
+  if (response.status < kFirstFailure || from_server) {
+    CheckServerResponse(id, request, response);
+    return;
+  }
+  CheckDaemonResponse(id, request, response);
+}
+
+void InvariantChecker::CheckServerResponse(const std::string& id,
+                                           const Request& request,
+                                           const ReceivedResponse& response) {
+  const std::string signature = FieldValue(response.fields, kSignature);
+  const auto& signatures = request.signatures;
+  if (std::find(signatures.begin(), signatures.end(), signature) ==
+      signatures.end()) {
+    AddViolation(id + ": an answer of no run of it: '" + signature + "'");
+    return;
+  }
+  const std::string expected = IsStream(request.sent.kind)
+                                   ? WholeStream(id, request.sent.events)
+                                   : PlainBody(id, signature);
+  if (response.body != expected) {
+    AddViolation(id + ": an answer that looks whole has another body, of " +
+                 std::to_string(response.body.size()) + " bytes for " +
+                 std::to_string(expected.size()));
+    return;
+  }
+  RecordVersion(request);
+}
+
+void InvariantChecker::RecordVersion(const Request& request) {
+  DaemonRun& run = daemons_[request.sent.daemon];
+  if (run.start == request.sent.daemon_start) {
+    run.seen_version = std::max(run.seen_version, request.sent.route_version);
+  }
+}
+
+void InvariantChecker::CheckDaemonResponse(const std::string& id,
+                                           Request& request,
+                                           const ReceivedResponse& response) {
+  const SentRequest& sent = request.sent;
+  const std::string status = std::to_string(response.status);
+  if (response.status == kUnavailable || response.status == kTooMany) {
+    ++refused_;
+    request.refused = true;
+    if (!request.signatures.empty() && RunsAtMostOnce(sent.kind)) {
+      AddViolation(id + ": refused with " + status +
+                   " as not run, and has run");
+    }
+    return;
+  }
+  const bool same_run = daemons_[sent.daemon].start == sent.daemon_start;
+  const bool must_know = same_run && request.seen_version >= sent.route_version;
+  if (response.status == kNotFound && must_know) {
+    AddViolation(id + ": 404 for a route that this daemon had served before");
+  }
+  const bool has_key =
+      !sent.organisation.empty() && sent.key_removed_version == 0;
+  if (response.status == kUnauthorised && has_key) {
+    AddViolation(id + ": 401 though its key holds");
+  }
+}
+
+void InvariantChecker::CheckIncompleteResponse(
+    const std::string& id,
+    const Request& request,
+    const ReceivedResponse& response) {
+  const std::string complete = WholeStream(id, request.sent.events);
+  if (IsStream(request.sent.kind) && !complete.starts_with(response.body)) {
+    AddViolation(id + ": events out of order, doubled or of another run");
+  }
+  // A stop closes idle connections; a request that crosses that has not run.
+  const bool closed_before_run = request.daemon_stopped &&
+                                 request.signatures.empty() &&
+                                 response.status == 0;
+  const bool excused =
+      request.daemon_killed || closed_before_run || response.at_time_limit ||
+      (IsStream(request.sent.kind) && request.incomplete_allowed);
+  if (!excused) {
+    AddViolation(id + ": the connection ended without a whole answer" +
+                 (request.daemon_stopped ? ", in a planned stop" : ""));
+  }
+}
+
+std::string InvariantChecker::OnRun(const std::string& id,
+                                    std::string_view service,
+                                    std::string_view server,
+                                    std::string_view target,
+                                    std::string_view body,
+                                    const HttpHeaders& fields) {
+  Request* request = Find(id);
+  if (request == nullptr) {
+    AddViolation("a run of '" + id + "', which nobody has sent, at " +
+                 std::string(server) + " of '" + std::string(target) +
+                 "' with body '" + std::string(body) + "'");
+    return "none";
+  }
+  const SentRequest& sent = request->sent;
+  if (service != sent.service) {
+    AddViolation(id + ": run by " + std::string(service));
+  }
+  if (target != sent.target || body != sent.body) {
+    AddViolation(id + ": run with another target or body");
+  }
+  if (sent.organisation.empty() ||
+      FieldValue(fields, "Gentianroute-Tenant") != sent.organisation) {
+    AddViolation(id + ": run for organisation '" +
+                 FieldValue(fields, "Gentianroute-Tenant") + "'");
+  }
+  if (FindField(fields, "Gentianroute-Key") != nullptr ||
+      FindField(fields, "Gentianroute-Pin-Ms") != nullptr) {
+    AddViolation(id + ": run with a field that is not the caller's to set");
+  }
+  const bool same_start = daemons_[sent.daemon].start == sent.daemon_start;
+  if (sent.key_removed_version > 0 && same_start &&
+      request->seen_version >= sent.key_removed_version) {
+    AddViolation(id + ": run with a key that this daemon knew to be gone");
+  }
+  if (RunsAtMostOnce(sent.kind) && !request->signatures.empty()) {
+    AddViolation(id + ": run twice");
+  }
+  if (RunsAtMostOnce(sent.kind) && request->refused) {
+    AddViolation(id + ": run after it was refused as not run");
+  }
+  request->signatures.push_back(std::string(server) + "." +
+                                std::to_string(++runs_));
+  return request->signatures.back();
+}
+
+void InvariantChecker::AllowIncompleteResponse(const std::string& id) {
+  if (Request* request = Find(id)) {
+    request->incomplete_allowed = true;
+  }
+}
+
+void InvariantChecker::OnSegmentCall(const SegmentCall& call) {
+  const Request* request = Find(call.request);
+  const std::string name = call.request + " stage " +
+                           std::to_string(call.stage) + " piece " +
+                           std::to_string(call.segment);
+  if (request == nullptr || call.stage >= request->sent.segment_counts.size() ||
+      call.segment >= request->sent.segment_counts[call.stage]) {
+    AddViolation(name + ": no request has this piece");
+    return;
+  }
+  if (call.stage == 0) {
+    if (call.key != request->sent.stage_key || !call.inputs.empty()) {
+      AddViolation(name + ": another key");
+    }
+    return;
+  }
+  const std::uint32_t before[] = {call.stage - 1};
+  CheckInputs(call.request, call.inputs, before);
+}
+
+void InvariantChecker::CheckInputs(const std::string& id,
+                                   std::span<const std::string> inputs,
+                                   std::span<const std::uint32_t> of_stages) {
+  const Request* request = Find(id);
+  if (request == nullptr) {
+    AddViolation("inputs for '" + id + "', which nobody has sent");
+    return;
+  }
+  std::set<std::pair<std::uint32_t, std::uint32_t>> given;
+  for (const std::string& input : inputs) {
+    const auto found = results_.find(input);
+    if (found == results_.end() || found->second.request != id) {
+      AddViolation(id + ": given a result that is not its own");
+      return;
+    }
+    if (!given.insert({found->second.stage, found->second.segment}).second) {
+      AddViolation(id + ": given a result twice");
+    }
+  }
+  std::set<std::pair<std::uint32_t, std::uint32_t>> wanted;
+  for (const std::uint32_t stage : of_stages) {
+    for (std::uint32_t i = 0; i < request->sent.segment_counts[stage]; ++i) {
+      wanted.insert({stage, i});
+    }
+  }
+  if (given != wanted) {
+    AddViolation(id + ": given " + std::to_string(given.size()) +
+                 " results of " + std::to_string(wanted.size()) +
+                 " or of another stage");
+  }
+}
+
+std::string InvariantChecker::AddResult(const std::string& server_address,
+                                        const SegmentCall& call) {
+  std::string name = server_address + "/" + std::to_string(++last_result_);
+  results_[name] = {call.request, call.stage, call.segment};
+  return name;
+}
+
+void InvariantChecker::OnDaemonEnds(std::size_t daemon, bool killed) {
+  for (auto& [id, request] : requests_) {
+    if (!request.ended && request.sent.daemon == daemon) {
+      (killed ? request.daemon_killed : request.daemon_stopped) = true;
+    }
+  }
+}
+
+void InvariantChecker::OnDaemonStarts(std::size_t daemon, std::uint64_t start) {
+  daemons_[daemon] = {start, 0};
+}
+
+}  // namespace gentianroute::soak
--- a/tests/soak/promises.h
+++ b/tests/soak/invariant_checker.h
@@ -1,5 +1,5 @@
-#ifndef GENTIANROUTE_TESTS_SOAK_PROMISES_H_
-#define GENTIANROUTE_TESTS_SOAK_PROMISES_H_
+#ifndef GENTIANROUTE_TESTS_SOAK_INVARIANT_CHECKER_H_
+#define GENTIANROUTE_TESTS_SOAK_INVARIANT_CHECKER_H_
 
 #include <cstdint>
 #include <map>
@@ -16,41 +16,42 @@
 namespace gentianroute::soak {
 
 /// @brief What a request may do, and what it needs before it runs.
-enum class Shape : std::uint8_t {
-  kOnce,   ///< runs at most once
-  kSafe,   ///< may run again
-  kDraft,  ///< a stream that may be resumed, behind a chain of two stages
-  kChat,   ///< a stream that runs at most once, behind one stage
+enum class RequestKind : std::uint8_t {
+  kNonIdempotent,       ///< runs at most once
+  kIdempotent,          ///< may run again
+  kResumableStream,     ///< a stream that may be resumed, behind a chain of two
+                        ///< stages
+  kNonResumableStream,  ///< a stream that runs at most once, behind one stage
 };
 
 /// @brief One request, as a caller sent it.
-struct Asked {
-  Shape shape = Shape::kSafe;
+struct SentRequest {
+  RequestKind kind = RequestKind::kIdempotent;
   std::string target;
   std::string body;
   std::string service;       ///< the only one that may run it
   std::string organisation;  ///< holder of its key; empty: nobody's
   std::string stage_key;
-  std::vector<std::uint32_t> pieces;  ///< of each stage
-  std::uint32_t events = 0;           ///< of its stream
+  std::vector<std::uint32_t> segment_counts;  ///< of each stage
+  std::uint32_t events = 0;                   ///< of its stream
   std::size_t daemon = 0;
-  std::uint64_t daemon_start = 0;      ///< which run of the daemon's process
-  std::uint64_t route_version = 0;     ///< the configuration that brought it
-  std::uint64_t key_gone_version = 0;  ///< that took its key away; 0: none
+  std::uint64_t daemon_start = 0;         ///< which run of the daemon's process
+  std::uint64_t route_version = 0;        ///< the configuration that brought it
+  std::uint64_t key_removed_version = 0;  ///< that took its key away; 0: none
 };
 
 /// @brief How a call ended, as its caller saw it.
-struct Answered {
+struct ReceivedResponse {
   int status = 0;  ///< 0: none
   HttpHeaders fields;
   std::string body;
-  bool whole = false;
+  bool complete = false;
   bool malformed = false;
   bool at_time_limit = false;  ///< the request's time was over
 };
 
 /// @brief One piece, as a stage server was asked for it.
-struct PieceAsked {
+struct SegmentCall {
   std::string request;
   std::uint32_t stage = 0;
   std::uint32_t segment = 0;
@@ -62,14 +63,14 @@
 ///
 /// It knows nothing of the daemons' inside. Each broken promise becomes a line;
 /// a run passes with none.
-class Promises {
+class InvariantChecker {
  public:
   // From callers.
-  void OnAsked(const std::string& id, Asked asked);
-  void OnAnswered(const std::string& id, const Answered& answer);
+  void OnRequestSent(const std::string& id, SentRequest sent);
+  void OnResponse(const std::string& id, const ReceivedResponse& response);
   /// @brief No answer long after the request's time limit.
-  void OnNoAnswer(const std::string& id);
-  void OnCallerLeft(const std::string& id);
+  void OnNoResponse(const std::string& id);
+  void OnCallerCancelled(const std::string& id);
 
   // From servers.
   /// @return the signature of this run
@@ -80,24 +81,27 @@
                     std::string_view body,
                     const HttpHeaders& fields);
   /// @brief A fault of the servers or of their links took part in its fate.
-  void ExcuseCut(const std::string& id);
-  void OnPiece(const PieceAsked& piece);
+  void AllowIncompleteResponse(const std::string& id);
+  void OnSegmentCall(const SegmentCall& call);
   /// @brief The inputs of a model run, or of a piece.
   void CheckInputs(const std::string& request,
                    std::span<const std::string> inputs,
                    std::span<const std::uint32_t> of_stages);
-  std::string NewResult(const std::string& holder, const PieceAsked& piece);
+  std::string AddResult(const std::string& server_address,
+                        const SegmentCall& call);
 
   // From the daemons' processes.
   /// @brief A kill or a stop; what is open there may break.
   void OnDaemonEnds(std::size_t daemon, bool killed);
   void OnDaemonStarts(std::size_t daemon, std::uint64_t start);
-  void Break(std::string line) { broken_.push_back(std::move(line)); }
+  void AddViolation(std::string line) {
+    violations_.push_back(std::move(line));
+  }
 
   /// @brief Newest configuration that answers of this run of a daemon showed.
   std::uint64_t SeenVersion(std::size_t daemon) const;
 
-  const std::vector<std::string>& broken() const { return broken_; }
+  const std::vector<std::string>& violations() const { return violations_; }
   std::size_t requests() const { return requests_.size(); }
   std::size_t answered() const { return answered_; }
   std::size_t refused() const { return refused_; }
@@ -109,10 +113,10 @@
 
  private:
   struct Request {
-    Asked asked;
+    SentRequest sent;
     std::vector<std::string> signatures;
     bool refused = false;
-    bool cut_excused = false;
+    bool incomplete_allowed = false;
     bool daemon_killed = false;
     bool daemon_stopped = false;
     bool ended = false;
@@ -128,22 +132,22 @@
     std::uint64_t seen_version = 0;
   };
 
-  void CheckSuccess(const std::string& id,
-                    const Request& request,
-                    const Answered& answer);
-  void CheckOwnAnswer(const std::string& id,
-                      Request& request,
-                      const Answered& answer);
-  void CheckCut(const std::string& id,
-                const Request& request,
-                const Answered& answer);
-  void NoteVersion(const Request& request);
+  void CheckServerResponse(const std::string& id,
+                           const Request& request,
+                           const ReceivedResponse& response);
+  void CheckDaemonResponse(const std::string& id,
+                           Request& request,
+                           const ReceivedResponse& response);
+  void CheckIncompleteResponse(const std::string& id,
+                               const Request& request,
+                               const ReceivedResponse& response);
+  void RecordVersion(const Request& request);
   Request* Find(const std::string& id);
 
   std::map<std::string, Request> requests_;
   std::map<std::string, Result> results_;
   std::map<std::size_t, DaemonRun> daemons_;
-  std::vector<std::string> broken_;
+  std::vector<std::string> violations_;
   std::size_t answered_ = 0;
   std::size_t refused_ = 0;
   std::uint64_t runs_ = 0;
@@ -152,4 +156,4 @@
 
 }  // namespace gentianroute::soak
 
-#endif  // GENTIANROUTE_TESTS_SOAK_PROMISES_H_
+#endif  // GENTIANROUTE_TESTS_SOAK_INVARIANT_CHECKER_H_
--- a/tests/soak/main.cc
+++ b/tests/soak/main.cc
@@ -19,13 +19,13 @@
       "seed %llu: %zu requests, %zu answered, %zu of them refused, "
       "%zu faults, %zu broken promises\n",
       static_cast<unsigned long long>(seed), report.requests, report.answered,
-      report.refused, report.faults.size(), report.broken.size());
-  constexpr std::size_t kMostLines = 20;
-  for (std::size_t i = 0; i < report.broken.size() && i < kMostLines; ++i) {
-    std::printf("  BROKEN %s\n", report.broken[i].c_str());
+      report.refused, report.faults.size(), report.violations.size());
+  constexpr std::size_t kMaxLines = 20;
+  for (std::size_t i = 0; i < report.violations.size() && i < kMaxLines; ++i) {
+    std::printf("  BROKEN %s\n", report.violations[i].c_str());
   }
   for (const std::string& fault : report.faults) {
-    if (with_faults || !report.broken.empty()) {
+    if (with_faults || !report.violations.empty()) {
       std::printf("  %s\n", fault.c_str());
     }
   }
@@ -58,7 +58,7 @@
     try {
       const SoakReport report = SoakRun(options).Run();
       Print(seed, report, with_faults);
-      failed += report.broken.empty() ? 0 : 1;
+      failed += report.violations.empty() ? 0 : 1;
     } catch (const std::exception& error) {
       std::printf("seed %llu: not run: %s\n",
                   static_cast<unsigned long long>(seed), error.what());
--- a/tests/soak/soak_callers.cc
+++ b/tests/soak/soak_callers.cc
@@ -13,16 +13,16 @@
 constexpr Duration kTimeLimit = milliseconds(3000);
 /// An answer that has not come so long after its time limit is lost. Far above
 /// what a busy machine adds.
-constexpr Duration kLostAfter = std::chrono::seconds(12);
-constexpr Duration kAlmost = milliseconds(100);
+constexpr Duration kResponseGrace = std::chrono::seconds(12);
+constexpr Duration kTimeLimitMargin = milliseconds(100);
 /// Callers keep a connection for less than daemons do, so that no request
 /// crosses a daemon's close but in a planned stop.
-constexpr Duration kReuse = milliseconds(1500);
-constexpr double kLeavingShare = 0.04;
+constexpr Duration kMaxIdle = milliseconds(1500);
+constexpr double kCancelledShare = 0.04;
 constexpr double kProbeShare = 0.15;
 constexpr std::string_view kHost = "soak";
 /// The organisation whose key never changes.
-constexpr const char* kSteady = "steady";
+constexpr const char* kSteadyOrganisation = "steady";
 
 }  // namespace
 
@@ -31,54 +31,55 @@
 }
 
 /// What to ask for, and with which key.
-struct SoakCallers::Drawn {
-  Asked asked;
+struct SoakCallers::DrawnRequest {
+  SentRequest request;
   std::string key = "key-steady";
 };
 
-struct SoakCallers::Plan {
+struct SoakCallers::PlannedCall {
   std::string id;
-  Asked asked;
+  SentRequest request;
   RelayCall call;
 };
 
 /// One caller; its present call, or its pause between two.
 class SoakCallers::Caller final : public RelayCallObserver {
  public:
-  explicit Caller(SoakCallers& all) : all_(all) {}
+  explicit Caller(SoakCallers& owner) : owner_(owner) {}
   ~Caller() override { Clear(); }
 
   void Pause() {
-    const auto ms = std::uniform_int_distribution<int>(5, 60)(all_.random_);
-    timer_ = all_.loop_.After(milliseconds(ms), [this] { Next(); });
+    const auto ms = std::uniform_int_distribution<int>(5, 60)(owner_.random_);
+    timer_ = owner_.loop_.After(milliseconds(ms), [this] { Next(); });
   }
   bool busy() const { return call_.has_value(); }
 
-  void Ask(Plan plan, std::function<void(bool)> done = nullptr) {
+  void Send(PlannedCall plan, std::function<void(bool)> done = nullptr) {
     done_ = std::move(done);
     id_ = plan.id;
-    answer_ = {};
-    sent_ = all_.loop_.Now();
-    all_.promises_.OnAsked(id_, std::move(plan.asked));
-    call_ = all_.client_.Call(std::move(plan.call), *this);
-    watch_ = all_.loop_.After(kTimeLimit + kLostAfter, [this] { OnNothing(); });
+    response_ = {};
+    sent_ = owner_.loop_.Now();
+    owner_.checker_.OnRequestSent(id_, std::move(plan.request));
+    call_ = owner_.client_.Call(std::move(plan.call), *this);
+    response_timer_ = owner_.loop_.After(kTimeLimit + kResponseGrace,
+                                         [this] { OnResponseTimeout(); });
   }
 
   void OnHead(MessageHead head) override {
-    answer_.status = head.status;
-    answer_.fields = std::move(head.fields);
+    response_.status = head.status;
+    response_.fields = std::move(head.fields);
   }
-  void OnBody(std::string_view part) override { answer_.body.append(part); }
+  void OnBody(std::string_view part) override { response_.body.append(part); }
   void OnDone() override {
-    answer_.whole = true;
+    response_.complete = true;
     EndCall();
   }
   void OnFailure(RelayFailure failure) override {
-    answer_.malformed = failure == RelayFailure::kMalformed;
+    response_.malformed = failure == RelayFailure::kMalformed;
     if (failure == RelayFailure::kNotSent) {
       // Nobody listened: the daemon is down, or a stop has closed its door.
       call_.reset();
-      all_.promises_.OnCallerLeft(id_);
+      owner_.checker_.OnCallerCancelled(id_);
       Finish(false);
       return;
     }
@@ -87,7 +88,7 @@
 
  private:
   void Next() {
-    if (all_.stopped_) {
+    if (owner_.stopped_) {
       return;
     }
     const SoakDaemon* daemon = PickDaemon();
@@ -95,17 +96,18 @@
       Pause();
       return;
     }
-    Ask(all_.PlanFor(*daemon, all_.Draw()));
-    std::bernoulli_distribution leaves(kLeavingShare);
-    if (leaves(all_.random_)) {
-      const auto ms = std::uniform_int_distribution<int>(1, 150)(all_.random_);
-      timer_ = all_.loop_.After(milliseconds(ms), [this] { Leave(); });
+    Send(owner_.PlanCall(*daemon, owner_.Draw()));
+    std::bernoulli_distribution cancels(kCancelledShare);
+    if (cancels(owner_.random_)) {
+      const auto ms =
+          std::uniform_int_distribution<int>(1, 150)(owner_.random_);
+      timer_ = owner_.loop_.After(milliseconds(ms), [this] { Cancel(); });
     }
   }
 
   const SoakDaemon* PickDaemon() const {
     std::vector<const SoakDaemon*> serving;
-    for (const auto& daemon : all_.daemons_) {
+    for (const auto& daemon : owner_.daemons_) {
       if (daemon->serves()) {
         serving.push_back(daemon.get());
       }
@@ -114,30 +116,31 @@
       return nullptr;
     }
     std::uniform_int_distribution<std::size_t> which(0, serving.size() - 1);
-    return serving[which(all_.random_)];
+    return serving[which(owner_.random_)];
   }
 
-  void Leave() {
+  void Cancel() {
     if (call_) {
-      all_.client_.Cancel(*call_);
+      owner_.client_.Cancel(*call_);
       call_.reset();
-      all_.promises_.OnCallerLeft(id_);
+      owner_.checker_.OnCallerCancelled(id_);
       Finish(false);
     }
   }
 
-  void OnNothing() {
+  void OnResponseTimeout() {
     if (call_) {
-      all_.promises_.OnNoAnswer(id_);
-      Leave();
+      owner_.checker_.OnNoResponse(id_);
+      Cancel();
     }
   }
 
   void EndCall() {
     call_.reset();
-    answer_.at_time_limit = all_.loop_.Now() - sent_ > kTimeLimit - kAlmost;
-    all_.promises_.OnAnswered(id_, answer_);
-    Finish(answer_.whole && answer_.status == 200);
+    response_.at_time_limit =
+        owner_.loop_.Now() - sent_ > kTimeLimit - kTimeLimitMargin;
+    owner_.checker_.OnResponse(id_, response_);
+    Finish(response_.complete && response_.status == 200);
   }
 
   void Finish(bool served) {
@@ -150,31 +153,31 @@
   }
 
   void Clear() {
-    all_.loop_.Cancel(timer_);
-    all_.loop_.Cancel(watch_);
+    owner_.loop_.Cancel(timer_);
+    owner_.loop_.Cancel(response_timer_);
     if (call_) {
-      all_.client_.Cancel(*call_);
+      owner_.client_.Cancel(*call_);
       call_.reset();
     }
   }
 
-  SoakCallers& all_;
+  SoakCallers& owner_;
   std::optional<RelayCallId> call_;
   std::string id_;
-  Answered answer_;
+  ReceivedResponse response_;
   TimePoint sent_{};
   TimerId timer_;
-  TimerId watch_;
+  TimerId response_timer_;
   std::function<void(bool)> done_;
 };
 
 SoakCallers::SoakCallers(EventLoop& loop,
-                         Promises& promises,
+                         InvariantChecker& checker,
                          std::mt19937_64& random,
                          const Daemons& daemons,
                          const OperatorState& state)
     : loop_(loop),
-      promises_(promises),
+      checker_(checker),
       random_(random),
       daemons_(daemons),
       state_(state),
@@ -195,85 +198,90 @@
                     [](const auto& caller) { return caller->busy(); }));
 }
 
-Asked SoakCallers::DrawShape() {
-  Asked asked;
-  const auto shape = std::uniform_int_distribution<int>(0, 9)(random_);
-  const auto pieces = [this] {
+SentRequest SoakCallers::DrawRegularRequest() {
+  SentRequest request;
+  const auto drawn = std::uniform_int_distribution<int>(0, 9)(random_);
+  const auto segment_counts = [this] {
     return std::uniform_int_distribution<std::uint32_t>(1, 6)(random_);
   };
-  if (shape < 3) {
-    asked.shape = Shape::kOnce;
-    asked.target = "/once/order?x=%2F..%2f";
-    asked.service = "ledger";
-  } else if (shape < 6) {
-    asked.shape = Shape::kSafe;
-    asked.target = "/safe/a//b/./c";
-    asked.service = "plain";
+  if (drawn < 3) {
+    request.kind = RequestKind::kNonIdempotent;
+    request.target = "/once/order?x=%2F..%2f";
+    request.service = "ledger";
+  } else if (drawn < 6) {
+    request.kind = RequestKind::kIdempotent;
+    request.target = "/safe/a//b/./c";
+    request.service = "plain";
   } else {
-    asked.shape = shape < 8 ? Shape::kDraft : Shape::kChat;
-    asked.target = shape < 8 ? "/draft/" : "/chat/";
-    asked.service = "model";
-    asked.pieces.assign(shape < 8 ? 2 : 1, 0);
-    std::generate(asked.pieces.begin(), asked.pieces.end(), pieces);
-    asked.events = std::uniform_int_distribution<std::uint32_t>(2, 14)(random_);
+    request.kind = drawn < 8 ? RequestKind::kResumableStream
+                             : RequestKind::kNonResumableStream;
+    request.target = drawn < 8 ? "/draft/" : "/chat/";
+    request.service = "model";
+    request.segment_counts.assign(drawn < 8 ? 2 : 1, 0);
+    std::generate(request.segment_counts.begin(), request.segment_counts.end(),
+                  segment_counts);
+    request.events =
+        std::uniform_int_distribution<std::uint32_t>(2, 14)(random_);
   }
-  return asked;
+  return request;
 }
 
-SoakCallers::Drawn SoakCallers::AskForRoute(std::uint64_t version) {
-  Drawn drawn;
-  drawn.asked.service = "plain";
-  drawn.asked.organisation = kSteady;
-  drawn.asked.route_version = version;
-  drawn.asked.target = "/v" + std::to_string(version) + "/";
+SoakCallers::DrawnRequest SoakCallers::RequestForRoute(std::uint64_t version) {
+  DrawnRequest drawn;
+  drawn.request.service = "plain";
+  drawn.request.organisation = kSteadyOrganisation;
+  drawn.request.route_version = version;
+  drawn.request.target = "/v" + std::to_string(version) + "/";
   return drawn;
 }
 
-SoakCallers::Drawn SoakCallers::DrawProbe() {
+SoakCallers::DrawnRequest SoakCallers::DrawProbe() {
   // A route or a key of some version, also of one to come.
   const std::uint64_t version = std::uniform_int_distribution<std::uint64_t>(
       kFirstVersion, state_.version + 1)(random_);
-  Drawn drawn = AskForRoute(version);
+  DrawnRequest drawn = RequestForRoute(version);
   if (std::bernoulli_distribution(0.5)(random_)) {
-    drawn.asked.target = "/safe/";
-    drawn.asked.route_version = 0;
-    drawn.asked.organisation = "changing";
-    drawn.asked.key_gone_version = GoneAt(version);
+    drawn.request.target = "/safe/";
+    drawn.request.route_version = 0;
+    drawn.request.organisation = "changing";
+    drawn.request.key_removed_version = RemovalVersion(version);
     drawn.key = ChangingKey(version);
   }
   return drawn;
 }
 
-SoakCallers::Drawn SoakCallers::Draw() {
+SoakCallers::DrawnRequest SoakCallers::Draw() {
   if (std::bernoulli_distribution(kProbeShare)(random_)) {
     return DrawProbe();
   }
-  Drawn drawn;
-  drawn.asked = DrawShape();
-  drawn.asked.organisation = kSteady;
+  DrawnRequest drawn;
+  drawn.request = DrawRegularRequest();
+  drawn.request.organisation = kSteadyOrganisation;
   return drawn;
 }
 
-SoakCallers::Plan SoakCallers::PlanFor(const SoakDaemon& daemon, Drawn drawn) {
-  Plan plan;
+SoakCallers::PlannedCall SoakCallers::PlanCall(const SoakDaemon& daemon,
+                                               DrawnRequest drawn) {
+  PlannedCall plan;
   plan.id = "r" + std::to_string(++last_id_);
-  plan.asked = std::move(drawn.asked);
-  plan.asked.body = "body of " + plan.id;
-  plan.asked.stage_key = "stages-" + plan.id;
-  plan.asked.daemon = daemon.index();
-  plan.asked.daemon_start = daemon.start();
-  plan.call.endpoint = {"127.0.0.1", daemon.callers_port()};
-  plan.call.message = TextOf(plan.id, plan.asked, drawn.key);
-  plan.call.max_idle = kReuse;
+  plan.request = std::move(drawn.request);
+  plan.request.body = "body of " + plan.id;
+  plan.request.stage_key = "stages-" + plan.id;
+  plan.request.daemon = daemon.index();
+  plan.request.daemon_start = daemon.start();
+  plan.call.endpoint = {"127.0.0.1", daemon.frontend_port()};
+  plan.call.message = RequestText(plan.id, plan.request, drawn.key);
+  plan.call.max_idle = kMaxIdle;
   return plan;
 }
 
-std::string SoakCallers::TextOf(const std::string& id,
-                                const Asked& asked,
-                                const std::string& key) const {
-  std::string pieces;
-  for (const std::uint32_t count : asked.pieces) {
-    pieces += (pieces.empty() ? "" : ",") + std::to_string(count);
+std::string SoakCallers::RequestText(const std::string& id,
+                                     const SentRequest& request,
+                                     const std::string& key) const {
+  std::string segment_counts;
+  for (const std::uint32_t count : request.segment_counts) {
+    segment_counts +=
+        (segment_counts.empty() ? "" : ",") + std::to_string(count);
   }
   HttpHeaders fields = {
       {"Host", std::string(kHost)},
@@ -283,23 +291,23 @@
        std::to_string(WholeMilliseconds(kTimeLimit))},
       {"Gentianroute-Tenant", "forged"},
       {"Gentianroute-Pin-Ms", "9"},
-      {"Events", std::to_string(asked.events)},
+      {"Events", std::to_string(request.events)},
       {"Gentianroute-Token-Usage", "900,60"},
       {"Gentianroute-Prefix-Hash", "a1:400,b" + id + ":500"},
   };
-  if (!pieces.empty()) {
-    fields.push_back({"Gentianroute-Chunk-Count", pieces});
-    fields.push_back({"Gentianroute-Chunk-Key", asked.stage_key});
+  if (!segment_counts.empty()) {
+    fields.push_back({"Gentianroute-Chunk-Count", segment_counts});
+    fields.push_back({"Gentianroute-Chunk-Key", request.stage_key});
   }
-  return SerialiseRequestHead("POST", asked.target, fields,
-                              BodyFraming::kLength, asked.body.size()) +
-         asked.body;
+  return SerialiseRequestHead("POST", request.target, fields,
+                              BodyFraming::kLength, request.body.size()) +
+         request.body;
 }
 
-void SoakCallers::AskOnce(SoakDaemon& daemon, std::function<void(bool)> done) {
+void SoakCallers::SendOnce(SoakDaemon& daemon, std::function<void(bool)> done) {
   callers_.push_back(std::make_unique<Caller>(*this));
-  callers_.back()->Ask(PlanFor(daemon, AskForRoute(state_.version)),
-                       std::move(done));
+  callers_.back()->Send(PlanCall(daemon, RequestForRoute(state_.version)),
+                        std::move(done));
 }
 
 }  // namespace gentianroute::soak
--- a/tests/soak/soak_callers.h
+++ b/tests/soak/soak_callers.h
@@ -9,7 +9,7 @@
 #include <vector>
 
 #include "gentianroute/loop/relay_client.h"
-#include "promises.h"
+#include "invariant_checker.h"
 #include "soak_daemon.h"
 
 namespace gentianroute::soak {
@@ -23,7 +23,7 @@
 /// @brief Key of the organisation whose keys change, brought by a version.
 std::string ChangingKey(std::uint64_t version);
 /// @brief The version that takes that key away.
-constexpr std::uint64_t GoneAt(std::uint64_t version) {
+constexpr std::uint64_t RemovalVersion(std::uint64_t version) {
   return version + 2;
 }
 
@@ -33,7 +33,7 @@
   using Daemons = std::vector<std::unique_ptr<SoakDaemon>>;
 
   SoakCallers(EventLoop& loop,
-              Promises& promises,
+              InvariantChecker& checker,
               std::mt19937_64& random,
               const Daemons& daemons,
               const OperatorState& state);
@@ -45,25 +45,25 @@
   void Stop() { stopped_ = true; }
   std::size_t open() const;
   /// @brief Asks one daemon once for one plain answer.
-  void AskOnce(SoakDaemon& daemon, std::function<void(bool served)> done);
+  void SendOnce(SoakDaemon& daemon, std::function<void(bool served)> done);
 
  private:
   class Caller;
-  struct Plan;
+  struct PlannedCall;
 
-  struct Drawn;
+  struct DrawnRequest;
 
-  Drawn Draw();
-  Drawn DrawProbe();
-  Asked DrawShape();
-  static Drawn AskForRoute(std::uint64_t version);
-  Plan PlanFor(const SoakDaemon& daemon, Drawn drawn);
-  std::string TextOf(const std::string& id,
-                     const Asked& asked,
-                     const std::string& key) const;
+  DrawnRequest Draw();
+  DrawnRequest DrawProbe();
+  SentRequest DrawRegularRequest();
+  static DrawnRequest RequestForRoute(std::uint64_t version);
+  PlannedCall PlanCall(const SoakDaemon& daemon, DrawnRequest drawn);
+  std::string RequestText(const std::string& id,
+                          const SentRequest& request,
+                          const std::string& key) const;
 
   EventLoop& loop_;
-  Promises& promises_;
+  InvariantChecker& checker_;
   std::mt19937_64& random_;
   const Daemons& daemons_;
   const OperatorState& state_;
--- a/tests/soak/soak_daemon.cc
+++ b/tests/soak/soak_daemon.cc
@@ -12,7 +12,7 @@
 
 using std::chrono::milliseconds;
 
-constexpr Duration kMainRunsAfter = milliseconds(150);
+constexpr Duration kSignalHandlerDelay = milliseconds(150);
 constexpr Duration kDownTime = milliseconds(300);
 /// What a daemon is given to end in after a planned stop, and what it may take
 /// beyond that on a machine that is busy.
@@ -22,21 +22,21 @@
 }  // namespace
 
 SoakDaemon::SoakDaemon(EventLoop& loop,
-                       Promises& promises,
+                       InvariantChecker& checker,
                        std::size_t index,
                        std::string data_centre,
                        std::uint16_t store_port,
                        std::string folder)
     : loop_(loop),
-      promises_(promises),
+      checker_(checker),
       index_(index),
       data_centre_(std::move(data_centre)),
       folder_(std::move(folder)),
       store_link_(loop, store_port),
-      callers_(testing::FreePort()),
-      readiness_(testing::FreePort()),
-      peers_(testing::FreePort()),
-      metrics_(testing::FreePort()) {}
+      frontend_port_(testing::FreePort()),
+      readiness_port_(testing::FreePort()),
+      peer_port_(testing::FreePort()),
+      metrics_port_(testing::FreePort()) {}
 
 SoakDaemon::~SoakDaemon() = default;
 
@@ -47,9 +47,9 @@
   std::ofstream file(path);
   file << "nodeName=edge-" << index_ << "\nzone=" << data_centre_
        << "\nzones.north=region-1\nzones.south=region-2\nip=127.0.0.1\n"
-       << "listen.frontend=" << at(callers_) << "\n"
-       << "listen.readiness=" << at(readiness_) << "\n"
-       << "portRange=" << peers_ << "," << peers_ << "\n"
+       << "listen.frontend=" << at(frontend_port_) << "\n"
+       << "listen.readiness=" << at(readiness_port_) << "\n"
+       << "portRange=" << peer_port_ << "," << peer_port_ << "\n"
        << "platform.address=" << store_link_.address() << "\n"
        << "bounds.graceS=" << kGraceSeconds << "\n";
 }
@@ -61,15 +61,15 @@
   process_ = std::make_unique<testing::Process>(
       std::vector<std::string>{testing::Binary("apps/gentianroute"),
                                "--platform", "--metrics-port",
-                               std::to_string(metrics_)},
+                               std::to_string(metrics_port_)},
       name + ".errors", name + ".log");
   ++start_;
   started_ = loop_.Now();
   state_ = State::kUp;
-  promises_.OnDaemonStarts(index_, start_);
+  checker_.OnDaemonStarts(index_, start_);
 }
 
-void SoakDaemon::StartLater() {
+void SoakDaemon::ScheduleStart() {
   state_ = State::kDown;
   process_.reset();
   loop_.After(kDownTime, [this] { Start(); });
@@ -79,17 +79,17 @@
   if (state_ == State::kDown) {
     return;
   }
-  promises_.OnDaemonEnds(index_, true);
+  checker_.OnDaemonEnds(index_, true);
   process_->Signal(SIGKILL);
-  StartLater();
+  ScheduleStart();
 }
 
 void SoakDaemon::Stop() {
   // Until main() runs no program can answer a signal but by its end.
-  if (state_ != State::kUp || loop_.Now() - started_ < kMainRunsAfter) {
+  if (state_ != State::kUp || loop_.Now() - started_ < kSignalHandlerDelay) {
     return;
   }
-  promises_.OnDaemonEnds(index_, false);
+  checker_.OnDaemonEnds(index_, false);
   process_->Signal(SIGTERM);
   state_ = State::kStopping;
   stop_limit_ = loop_.Now() + kStopLimit;
@@ -109,13 +109,13 @@
   });
 }
 
-void SoakDaemon::HangUp() {
-  if (state_ == State::kUp && loop_.Now() - started_ >= kMainRunsAfter) {
+void SoakDaemon::ReloadSettings() {
+  if (state_ == State::kUp && loop_.Now() - started_ >= kSignalHandlerDelay) {
     process_->Signal(SIGHUP);
   }
 }
 
-void SoakDaemon::Look() {
+void SoakDaemon::CheckProcess() {
   if (state_ == State::kDown) {
     return;
   }
@@ -123,19 +123,20 @@
   const int status = process_->Wait(0);
   if (status < 0) {
     if (state_ == State::kStopping && loop_.Now() > stop_limit_) {
-      promises_.Break(name + " does not end after a planned stop");
+      checker_.AddViolation(name + " does not end after a planned stop");
       Kill();
     }
     return;
   }
   if (state_ != State::kStopping) {
-    promises_.Break(name + " ended by itself with " + std::to_string(status));
-    promises_.OnDaemonEnds(index_, true);
+    checker_.AddViolation(name + " ended by itself with " +
+                          std::to_string(status));
+    checker_.OnDaemonEnds(index_, true);
   } else if (status != 0) {
-    promises_.Break(name + " ended a planned stop with " +
-                    std::to_string(status));
+    checker_.AddViolation(name + " ended a planned stop with " +
+                          std::to_string(status));
   }
-  StartLater();
+  ScheduleStart();
 }
 
 }  // namespace gentianroute::soak
--- a/tests/soak/soak_daemon.h
+++ b/tests/soak/soak_daemon.h
@@ -6,8 +6,8 @@
 #include <string>
 
 #include "fault_proxy.h"
+#include "invariant_checker.h"
 #include "process.h"
-#include "promises.h"
 
 namespace gentianroute::soak {
 
@@ -15,7 +15,7 @@
 class SoakDaemon {
  public:
   SoakDaemon(EventLoop& loop,
-             Promises& promises,
+             InvariantChecker& checker,
              std::size_t index,
              std::string data_centre,
              std::uint16_t store_port,
@@ -27,34 +27,34 @@
   /// @brief A planned stop; it starts again once it has ended.
   void Stop();
   void Pause(Duration time);
-  void HangUp();
+  void ReloadSettings();
 
   /// @brief Notes an end that was asked for, and starts it again; any other
   /// end breaks a promise.
-  void Look();
+  void CheckProcess();
   /// @brief Whether it takes requests, as far as its signals tell.
   bool serves() const { return state_ == State::kUp; }
   std::size_t index() const { return index_; }
   std::uint64_t start() const { return start_; }
-  std::uint16_t callers_port() const { return callers_; }
+  std::uint16_t frontend_port() const { return frontend_port_; }
   FaultProxy& store_link() { return store_link_; }
 
  private:
   enum class State : std::uint8_t { kUp, kPaused, kStopping, kDown };
 
   void WriteSettings(const std::string& path) const;
-  void StartLater();
+  void ScheduleStart();
 
   EventLoop& loop_;
-  Promises& promises_;
+  InvariantChecker& checker_;
   std::size_t index_;
   std::string data_centre_;
   std::string folder_;
   FaultProxy store_link_;
-  std::uint16_t callers_;
-  std::uint16_t readiness_;
-  std::uint16_t peers_;
-  std::uint16_t metrics_;
+  std::uint16_t frontend_port_;
+  std::uint16_t readiness_port_;
+  std::uint16_t peer_port_;
+  std::uint16_t metrics_port_;
   State state_ = State::kDown;
   std::uint64_t start_ = 0;
   TimePoint started_{};
--- a/tests/soak/soak_run.cc
+++ b/tests/soak/soak_run.cc
@@ -11,12 +11,12 @@
 using nlohmann::json;
 using std::chrono::milliseconds;
 
-constexpr Duration kLookPeriod = milliseconds(30);
+constexpr Duration kProcessCheckPeriod = milliseconds(30);
 constexpr Duration kReadyLimit = std::chrono::seconds(20);
 /// What all together may take to serve again once every fault is healed.
 constexpr Duration kRecoveryLimit = std::chrono::seconds(30);
-constexpr Duration kStep = milliseconds(50);
-constexpr std::uint64_t kKeysAtOnce = 2;
+constexpr Duration kPollPeriod = milliseconds(50);
+constexpr std::uint64_t kValidKeys = 2;
 
 json RouteJson(const std::string& name,
                const std::string& type,
@@ -50,11 +50,11 @@
       random_(options_.seed),
       fault_random_(options_.seed),
       store_(loop_),
-      world_{loop_, promises_, store_, random_, {}},
-      callers_(loop_, promises_, random_, daemons_, operator_) {}
+      context_{loop_, checker_, store_, random_, {}},
+      callers_(loop_, checker_, random_, daemons_, operator_) {}
 
 SoakRun::~SoakRun() {
-  loop_.Cancel(look_timer_);
+  loop_.Cancel(process_check_timer_);
   loop_.Cancel(fault_timer_);
 }
 
@@ -64,16 +64,16 @@
       {"kill most daemons", 1, &SoakRun::KillMostDaemons},
       {"stop a daemon", 5, &SoakRun::StopDaemon},
       {"pause a daemon", 5, &SoakRun::PauseDaemon},
-      {"signal new settings", 2, &SoakRun::HangUpDaemon},
+      {"signal new settings", 2, &SoakRun::ReloadDaemonSettings},
       {"crash a server", 6, &SoakRun::CrashServer},
       {"replace a server", 4, &SoakRun::ReplaceServer},
       {"slow a server", 3, &SoakRun::SlowServer},
-      {"lose answers", 3, &SoakRun::LoseAnswers},
-      {"send stray answers", 3, &SoakRun::SendStrays},
+      {"lose answers", 3, &SoakRun::LoseResponses},
+      {"send stray answers", 3, &SoakRun::SendStrayResponses},
       {"break streams", 3, &SoakRun::BreakStreams},
-      {"harm a server's link", 6, &SoakRun::HarmServerLink},
+      {"harm a server's link", 6, &SoakRun::ImpairServerLink},
       {"silence a server's open links", 3, &SoakRun::SilenceServerLinks},
-      {"harm a link to the store", 5, &SoakRun::HarmStoreLink},
+      {"harm a link to the store", 5, &SoakRun::ImpairStoreLink},
       {"silence open links to the store", 2, &SoakRun::SilenceStoreLinks},
       {"take the store down", 2, &SoakRun::TakeStoreDown},
       {"change the configuration", 6, &SoakRun::ChangeDeployment},
@@ -85,12 +85,15 @@
   for (const std::string place : {"north", "south"}) {
     for (int i = 0; i < 2; ++i) {
       servers_.push_back(
-          std::make_unique<PlainServer>(world_, "ledger", place));
-      servers_.push_back(std::make_unique<PlainServer>(world_, "plain", place));
-      servers_.push_back(std::make_unique<ModelServer>(world_, "model", place));
+          std::make_unique<PlainServer>(context_, "ledger", place));
       servers_.push_back(
-          std::make_unique<StageServer>(world_, "encode", place));
-      servers_.push_back(std::make_unique<StageServer>(world_, "rank", place));
+          std::make_unique<PlainServer>(context_, "plain", place));
+      servers_.push_back(
+          std::make_unique<ModelServer>(context_, "model", place));
+      servers_.push_back(
+          std::make_unique<StageServer>(context_, "encode", place));
+      servers_.push_back(
+          std::make_unique<StageServer>(context_, "rank", place));
     }
   }
   for (const auto& server : servers_) {
@@ -101,13 +104,13 @@
 void SoakRun::AddDaemons() {
   for (std::size_t i = 0; i < options_.daemons; ++i) {
     daemons_.push_back(std::make_unique<SoakDaemon>(
-        loop_, promises_, i, i % 2 == 0 ? "north" : "south",
+        loop_, checker_, i, i % 2 == 0 ? "north" : "south",
         store_.server().port(), options_.folder));
     daemons_.back()->Start();
   }
-  look_timer_ = loop_.Every(kLookPeriod, [this] {
+  process_check_timer_ = loop_.Every(kProcessCheckPeriod, [this] {
     for (const auto& daemon : daemons_) {
-      daemon->Look();
+      daemon->CheckProcess();
     }
   });
 }
@@ -126,7 +129,7 @@
     routes.push_back(RouteJson("v" + std::to_string(i), "idempotent", "plain"));
   }
   json keys = json::array();
-  for (std::uint64_t i = 0; i < kKeysAtOnce && i < operator_.version; ++i) {
+  for (std::uint64_t i = 0; i < kValidKeys && i < operator_.version; ++i) {
     keys.push_back(ChangingKey(operator_.version - i));
   }
   const json deployment = {
@@ -144,7 +147,7 @@
   store_.Put("op", "config", deployment.dump());
 }
 
-void SoakRun::Pass(Duration time) {
+void SoakRun::RunLoopFor(Duration time) {
   loop_.After(time, [this] { loop_.Stop(); });
   loop_.Run();
 }
@@ -155,19 +158,19 @@
   AddDaemons();
   WaitUntilReady();
   callers_.Start(options_.callers);
-  FaultLater();
-  Pass(options_.length);
-  Heal();
-  AskLast();
+  ScheduleFault();
+  RunLoopFor(options_.length);
+  ClearFaults();
+  CheckRecovery();
   callers_.Stop();
   const TimePoint limit = loop_.Now() + kRecoveryLimit;
   while (callers_.open() > 0 && loop_.Now() < limit) {
-    Pass(kStep);
+    RunLoopFor(kPollPeriod);
   }
-  report_.broken = promises_.broken();
-  report_.requests = promises_.requests();
-  report_.answered = promises_.answered();
-  report_.refused = promises_.refused();
+  report_.violations = checker_.violations();
+  report_.requests = checker_.requests();
+  report_.answered = checker_.answered();
+  report_.refused = checker_.refused();
   return report_;
 }
 
@@ -175,14 +178,14 @@
   const TimePoint limit = loop_.Now() + kReadyLimit;
   std::size_t served = 0;
   for (const auto& daemon : daemons_) {
-    served += AskUntilServed(*daemon, limit) ? 1 : 0;
+    served += RequestUntilServed(*daemon, limit) ? 1 : 0;
   }
   if (served < daemons_.size()) {
-    promises_.Break("a daemon does not serve after its start");
+    checker_.AddViolation("a daemon does not serve after its start");
   }
 }
 
-void SoakRun::FaultLater() {
+void SoakRun::ScheduleFault() {
   fault_timer_ = loop_.After(DrawTime(60, 500), [this] { BeginFault(); });
 }
 
@@ -202,64 +205,65 @@
       break;
     }
   }
-  FaultLater();
+  ScheduleFault();
 }
 
-void SoakRun::Heal() {
+void SoakRun::ClearFaults() {
   loop_.Cancel(fault_timer_);
   store_.SetAnswering(true);
   for (const auto& daemon : daemons_) {
     daemon->store_link().SetMode(FaultProxy::Mode::kPass);
   }
   for (const auto& server : servers_) {
-    server->HealLink();
+    server->RestoreLink();
     server->SetFaults({});
   }
 }
 
-void SoakRun::AskLast() {
+void SoakRun::CheckRecovery() {
   const TimePoint limit = loop_.Now() + kRecoveryLimit;
   for (const auto& daemon : daemons_) {
-    if (!AskUntilServed(*daemon, limit)) {
-      promises_.Break("daemon " + std::to_string(daemon->index()) +
-                      " does not serve the newest route once all is healed");
+    if (!RequestUntilServed(*daemon, limit)) {
+      checker_.AddViolation(
+          "daemon " + std::to_string(daemon->index()) +
+          " does not serve the newest route once all is healed");
     }
   }
 }
 
-bool SoakRun::AskUntilServed(SoakDaemon& daemon, TimePoint limit) {
+bool SoakRun::RequestUntilServed(SoakDaemon& daemon, TimePoint limit) {
   // Answers may still come after the one that is waited for.
   const auto served = std::make_shared<bool>(false);
   while (!*served && loop_.Now() < limit) {
     if (daemon.serves()) {
-      callers_.AskOnce(daemon,
-                       [served](bool good) { *served = *served || good; });
+      callers_.SendOnce(daemon,
+                        [served](bool good) { *served = *served || good; });
     }
-    Pass(kStep);
+    RunLoopFor(kPollPeriod);
   }
   return *served;
 }
 
-SoakServer& SoakRun::AnyServer() {
+SoakServer& SoakRun::DrawServer() {
   std::uniform_int_distribution<std::size_t> which(0, servers_.size() - 1);
   return *servers_[which(fault_random_)];
 }
 
-SoakDaemon& SoakRun::AnyDaemon() {
+SoakDaemon& SoakRun::DrawDaemon() {
   std::uniform_int_distribution<std::size_t> which(0, daemons_.size() - 1);
   return *daemons_[which(fault_random_)];
 }
 
-Duration SoakRun::DrawTime(int least_ms, int most_ms) {
+Duration SoakRun::DrawTime(int min_ms, int max_ms) {
   return milliseconds(
-      std::uniform_int_distribution<int>(least_ms, most_ms)(fault_random_));
+      std::uniform_int_distribution<int>(min_ms, max_ms)(fault_random_));
 }
 
 bool SoakRun::Draw(double share) {
   return std::bernoulli_distribution(share)(fault_random_);
 }
 
-FaultProxy::Mode SoakRun::DrawHarm() {
+FaultProxy::Mode SoakRun::DrawImpairment() {
   constexpr FaultProxy::Mode kModes[] = {
       FaultProxy::Mode::kDelayed, FaultProxy::Mode::kSilent,
       FaultProxy::Mode::kOneWayCut, FaultProxy::Mode::kRefusing};
@@ -268,7 +272,7 @@
 }
 
 void SoakRun::KillDaemon() {
-  AnyDaemon().Kill();
+  DrawDaemon().Kill();
 }
 
 void SoakRun::KillMostDaemons() {
@@ -280,19 +284,19 @@
 }
 
 void SoakRun::StopDaemon() {
-  AnyDaemon().Stop();
+  DrawDaemon().Stop();
 }
 
 void SoakRun::PauseDaemon() {
-  AnyDaemon().Pause(DrawTime(100, 2500));
+  DrawDaemon().Pause(DrawTime(100, 2500));
 }
 
-void SoakRun::HangUpDaemon() {
-  AnyDaemon().HangUp();
+void SoakRun::ReloadDaemonSettings() {
+  DrawDaemon().ReloadSettings();
 }
 
 void SoakRun::CrashServer() {
-  SoakServer& server = AnyServer();
+  SoakServer& server = DrawServer();
   const bool same_id = Draw(0.3);
   const Duration down = DrawTime(300, 2500);
   if (!server.up()) {
@@ -303,12 +307,12 @@
 }
 
 void SoakRun::ReplaceServer() {
-  SoakServer& server = AnyServer();
+  SoakServer& server = DrawServer();
   const Duration away = DrawTime(3500, 5000);
   if (!server.up()) {
     return;
   }
-  server.Leave();
+  server.Drain();
   loop_.After(away, [&server] {
     if (!server.up()) {
       server.Start(false);
@@ -319,41 +323,41 @@
 void SoakRun::SlowServer() {
   ServerFaults faults;
   faults.slower = std::uniform_real_distribution<double>(2, 8)(fault_random_);
-  AnyServer().SetFaults(faults);
+  DrawServer().SetFaults(faults);
 }
 
-void SoakRun::LoseAnswers() {
+void SoakRun::LoseResponses() {
   ServerFaults faults;
-  faults.lost_answers = 0.3;
-  AnyServer().SetFaults(faults);
+  faults.lost_responses = 0.3;
+  DrawServer().SetFaults(faults);
 }
 
-void SoakRun::SendStrays() {
+void SoakRun::SendStrayResponses() {
   ServerFaults faults;
-  faults.stray_answers = 0.3;
-  AnyServer().SetFaults(faults);
+  faults.stray_responses = 0.3;
+  DrawServer().SetFaults(faults);
 }
 
 void SoakRun::BreakStreams() {
   ServerFaults faults;
   faults.broken_streams = 0.1;
-  AnyServer().SetFaults(faults);
+  DrawServer().SetFaults(faults);
 }
 
-void SoakRun::HarmServerLink() {
-  const FaultProxy::Mode mode = DrawHarm();
-  SoakServer& server = AnyServer();
-  server.HarmLink(mode, DrawTime(20, 300));
-  loop_.After(DrawTime(200, 2500), [&server] { server.HealLink(); });
+void SoakRun::ImpairServerLink() {
+  const FaultProxy::Mode mode = DrawImpairment();
+  SoakServer& server = DrawServer();
+  server.ImpairLink(mode, DrawTime(20, 300));
+  loop_.After(DrawTime(200, 2500), [&server] { server.RestoreLink(); });
 }
 
 void SoakRun::SilenceServerLinks() {
-  AnyServer().SilenceOpenLinks();
+  DrawServer().SilenceOpenLinks();
 }
 
-void SoakRun::HarmStoreLink() {
-  const FaultProxy::Mode mode = DrawHarm();
-  FaultProxy& link = AnyDaemon().store_link();
+void SoakRun::ImpairStoreLink() {
+  const FaultProxy::Mode mode = DrawImpairment();
+  FaultProxy& link = DrawDaemon().store_link();
   link.SetMode(mode, DrawTime(50, 800));
   loop_.After(DrawTime(300, 4000),
               [&link] { link.SetMode(FaultProxy::Mode::kPass); });
@@ -361,7 +365,7 @@
 
 void SoakRun::SilenceStoreLinks() {
   for (const auto& daemon : daemons_) {
-    daemon->store_link().SilenceOpenOnes();
+    daemon->store_link().SilenceOpenConnections();
   }
 }
 
--- a/tests/soak/soak_run.h
+++ b/tests/soak/soak_run.h
@@ -25,7 +25,7 @@
 
 /// @brief What came of a run.
 struct SoakReport {
-  std::vector<std::string> broken;
+  std::vector<std::string> violations;
   std::vector<std::string> faults;  ///< what was done, with its time
   std::size_t requests = 0;
   std::size_t answered = 0;
@@ -56,34 +56,34 @@
   void AddDaemons();
   void WaitUntilReady();
   void StoreDeployment();
-  void FaultLater();
+  void ScheduleFault();
   void BeginFault();
-  void Heal();
-  void AskLast();
+  void ClearFaults();
+  void CheckRecovery();
   /// @brief Asks a daemon for the newest route until it has served it once.
-  bool AskUntilServed(SoakDaemon& daemon, TimePoint limit);
-  void Pass(Duration time);
-  SoakServer& AnyServer();
-  SoakDaemon& AnyDaemon();
-  Duration DrawTime(int least_ms, int most_ms);
+  bool RequestUntilServed(SoakDaemon& daemon, TimePoint limit);
+  void RunLoopFor(Duration time);
+  SoakServer& DrawServer();
+  SoakDaemon& DrawDaemon();
+  Duration DrawTime(int min_ms, int max_ms);
   bool Draw(double share);
-  FaultProxy::Mode DrawHarm();
+  FaultProxy::Mode DrawImpairment();
 
   // Faults, one each.
   void KillDaemon();
   void KillMostDaemons();
   void StopDaemon();
   void PauseDaemon();
-  void HangUpDaemon();
+  void ReloadDaemonSettings();
   void CrashServer();
   void ReplaceServer();
   void SlowServer();
-  void LoseAnswers();
-  void SendStrays();
+  void LoseResponses();
+  void SendStrayResponses();
   void BreakStreams();
-  void HarmServerLink();
+  void ImpairServerLink();
   void SilenceServerLinks();
-  void HarmStoreLink();
+  void ImpairStoreLink();
   void SilenceStoreLinks();
   void TakeStoreDown();
   void ChangeDeployment();
@@ -93,15 +93,15 @@
   std::mt19937_64
       fault_random_;  ///< of faults alone, so that a seed fixes them
   EventLoop loop_;
-  Promises promises_;
+  InvariantChecker checker_;
   platform::FarStore store_;
-  ServerWorld world_;
+  ServerContext context_;
   std::vector<std::unique_ptr<SoakServer>> servers_;
   SoakCallers::Daemons daemons_;
   OperatorState operator_;
   SoakCallers callers_;
   SoakReport report_;
-  TimerId look_timer_;
+  TimerId process_check_timer_;
   TimerId fault_timer_;
 };
 
--- a/tests/soak/soak_servers.cc
+++ b/tests/soak/soak_servers.cc
@@ -16,11 +16,11 @@
 constexpr Duration kFirstEvent = milliseconds(30);
 constexpr Duration kNextEvent = milliseconds(8);
 constexpr Duration kStageCall = milliseconds(25);
-constexpr Duration kStagePiece = milliseconds(2);
+constexpr Duration kStageSegment = milliseconds(2);
 /// A server that crashed is shown as gone after three missed heartbeats.
-constexpr Duration kLapse = milliseconds(900);
+constexpr Duration kRemovalDelay = milliseconds(900);
 /// How long a server that leaves serves on.
-constexpr Duration kLeaving = milliseconds(2500);
+constexpr Duration kDrainTime = milliseconds(2500);
 constexpr int kBadRequest = 400;
 constexpr int kConflict = 409;
 constexpr int kMisdirected = 421;
@@ -44,28 +44,28 @@
 
 }  // namespace
 
-SoakServer::SoakServer(ServerWorld& world,
+SoakServer::SoakServer(ServerContext& context,
                        std::string service,
                        std::string data_centre)
-    : world_(world),
+    : context_(context),
       service_(std::move(service)),
       data_centre_(std::move(data_centre)) {
   server_ = std::make_unique<platform::RawServer>(
-      world_.loop,
+      context_.loop,
       [this](Peer& peer, const MessageHead& head, const std::string& body) {
         OnRequest(peer, head, body);
       });
-  link_ = std::make_unique<FaultProxy>(world_.loop, server_->port());
+  link_ = std::make_unique<FaultProxy>(context_.loop, server_->port());
 }
 
 SoakServer::~SoakServer() = default;
 
 void SoakServer::Start(bool under_old_id) {
-  ++life_;
+  ++start_count_;
   faults_ = {};
   if (!under_old_id || id_.empty()) {
     id_ = service_ + "-" + std::to_string(server_->port()) + "-" +
-          std::to_string(life_);
+          std::to_string(start_count_);
   }
   up_ = true;
   link_->SetMode(FaultProxy::Mode::kPass);
@@ -73,19 +73,19 @@
 }
 
 void SoakServer::WriteRow(const std::string& state) {
-  world_.store.Put("servers", id_,
-                   json{{"service", service_},
-                        {"address", link_->address()},
-                        {"zone", data_centre_},
-                        {"slots", 8},
-                        {"state", state},
-                        {"born", static_cast<std::int64_t>(life_)}}
-                       .dump());
+  context_.store.Put("servers", id_,
+                     json{{"service", service_},
+                          {"address", link_->address()},
+                          {"zone", data_centre_},
+                          {"slots", 8},
+                          {"state", state},
+                          {"born", static_cast<std::int64_t>(start_count_)}}
+                         .dump());
 }
 
 void SoakServer::End() {
   up_ = false;
-  ExcuseRunning();
+  AllowIncompleteResponses();
   running_.clear();
   link_->SetMode(FaultProxy::Mode::kRefusing);
   link_->Reset();
@@ -97,67 +97,69 @@
     return;
   }
   End();
-  world_.loop.After(kLapse, [this, life = life_, id = id_] {
-    if (life_ == life) {
-      world_.store.Remove("servers", id);
-    }
-  });
+  context_.loop.After(kRemovalDelay,
+                      [this, start_count = start_count_, id = id_] {
+                        if (start_count_ == start_count) {
+                          context_.store.Remove("servers", id);
+                        }
+                      });
 }
 
-void SoakServer::Leave() {
+void SoakServer::Drain() {
   if (!up_) {
     return;
   }
   WriteRow("draining");
-  After(kLeaving, [this, id = id_] {
+  After(kDrainTime, [this, id = id_] {
     End();
-    world_.store.Remove("servers", id);
+    context_.store.Remove("servers", id);
   });
 }
 
 void SoakServer::SetFaults(const ServerFaults& faults) {
   faults_ = faults;
-  ExcuseRunning();
+  AllowIncompleteResponses();
 }
 
-void SoakServer::HarmLink(FaultProxy::Mode mode, Duration delay) {
+void SoakServer::ImpairLink(FaultProxy::Mode mode, Duration delay) {
   if (!up_) {
     return;
   }
-  ExcuseRunning();
+  AllowIncompleteResponses();
   link_->SetMode(mode, delay);
 }
 
-void SoakServer::HealLink() {
+void SoakServer::RestoreLink() {
   if (up_) {
-    ExcuseRunning();
+    AllowIncompleteResponses();
     link_->SetMode(FaultProxy::Mode::kPass);
   }
 }
 
 void SoakServer::SilenceOpenLinks() {
-  ExcuseRunning();
-  link_->SilenceOpenOnes();
+  AllowIncompleteResponses();
+  link_->SilenceOpenConnections();
 }
 
-void SoakServer::ExcuseRunning() {
+void SoakServer::AllowIncompleteResponses() {
   for (const std::string& id : running_) {
-    world_.promises.ExcuseCut(id);
+    context_.checker.AllowIncompleteResponse(id);
   }
 }
 
 bool SoakServer::Draw(double share) {
-  return std::uniform_real_distribution<double>(0, 1)(world_.random) < share;
+  return std::uniform_real_distribution<double>(0, 1)(context_.random) < share;
 }
 
 void SoakServer::After(Duration time, std::function<void()> then) {
   const auto slowed =
       std::chrono::duration_cast<Duration>(time * faults_.slower);
-  world_.loop.After(slowed, [this, life = life_, then = std::move(then)] {
-    if (life_ == life && up_) {
-      then();
-    }
-  });
+  context_.loop.After(
+      slowed, [this, start_count = start_count_, then = std::move(then)] {
+        if (start_count_ == start_count && up_) {
+          then();
+        }
+      });
 }
 
 void SoakServer::RefuseNotRun(Peer& peer, int status) {
@@ -184,12 +186,12 @@
                                  const MessageHead& head,
                                  const std::string& body) {
   std::string signature =
-      world_.promises.OnRun(id, service_, id_, head.target, body, head.fields);
+      context_.checker.OnRun(id, service_, id_, head.target, body, head.fields);
   running_.insert(id);
   const bool faulty = faults_.broken_streams > 0 || faults_.slower > 1 ||
-                      faults_.lost_answers > 0;
-  if (faulty || link_->harmed()) {
-    world_.promises.ExcuseCut(id);
+                      faults_.lost_responses > 0;
+  if (faulty || link_->impaired()) {
+    context_.checker.AllowIncompleteResponse(id);
   }
   return signature;
 }
@@ -200,12 +202,12 @@
                             const std::string& body) {
   const std::string echo =
       id.empty() ? "" : "Gentianroute-Request-Id: " + id + "\r\n";
-  if (Draw(faults_.lost_answers)) {
+  if (Draw(faults_.lost_responses)) {
     peer.Close();
     return;
   }
   peer.SendAnswer(200, echo + fields, body);
-  if (Draw(faults_.stray_answers)) {
+  if (Draw(faults_.stray_responses)) {
     peer.SendAnswer(200,
                     "Gentianroute-Request-Id: stray\r\n"
                     "Gentianroute-Response-Signature: stray\r\n",
@@ -216,8 +218,8 @@
 void PlainServer::Run(Peer& peer,
                       const MessageHead& head,
                       const std::string& body) {
-  constexpr std::size_t kMostAtOnce = 24;
-  if (running_.size() >= kMostAtOnce) {
+  constexpr std::size_t kMaxConcurrent = 24;
+  if (running_.size() >= kMaxConcurrent) {
     RefuseNotRun(peer, kUnavailable);
     return;
   }
@@ -228,7 +230,7 @@
     if (!peer.closed()) {
       SendAnswer(peer, id,
                  "Gentianroute-Response-Signature: " + signature + "\r\n",
-                 Promises::PlainBody(id, signature));
+                 InvariantChecker::PlainBody(id, signature));
     }
   });
 }
@@ -251,13 +253,13 @@
     return;
   }
   for (const std::string& input : inputs) {
-    if (!world_.results.contains(input)) {
+    if (!context_.results.contains(input)) {
       RefuseNotRun(peer, kConflict);
       return;
     }
   }
   const std::uint32_t last_stage = head.target.starts_with("/draft/") ? 1 : 0;
-  world_.promises.CheckInputs(id, inputs, {&last_stage, 1});
+  context_.checker.CheckInputs(id, inputs, {&last_stage, 1});
   const std::string signature = BeginRun(id, head, body);
   const auto events =
       static_cast<std::uint32_t>(LastNumber(FieldValue(head.fields, "Events")));
@@ -292,7 +294,7 @@
     return;
   }
   const std::string event =
-      Promises::Event(stream->id, stream->next, stream->events);
+      InvariantChecker::Event(stream->id, stream->next, stream->events);
   if (Draw(faults_.broken_streams)) {
     // In the middle of an event.
     running_.erase(stream->id);
@@ -309,7 +311,7 @@
                       const MessageHead& head,
                       const std::string& body) {
   if (head.target.ends_with("stage-free")) {
-    Free(body);
+    FreeResults(body);
     peer.SendAnswer(200, "", "");
     return;
   }
@@ -318,61 +320,63 @@
     return;
   }
   busy_ = true;
-  const auto pieces = std::count(body.begin(), body.end(), '{') - 1;
-  After(kStageCall + kStagePiece * pieces, [this, &peer, body] {
+  const auto segments = std::count(body.begin(), body.end(), '{') - 1;
+  After(kStageCall + kStageSegment * segments, [this, &peer, body] {
     busy_ = false;
-    const std::string answer = Make(body);
+    const std::string response = RunSegments(body);
     if (!peer.closed()) {
-      SendAnswer(peer, "", "Content-Type: application/json\r\n", answer);
+      SendAnswer(peer, "", "Content-Type: application/json\r\n", response);
     }
   });
 }
 
-std::string StageServer::Make(const std::string& body) {
+std::string StageServer::RunSegments(const std::string& body) {
   json entries = json::array();
-  const json asked = json::parse(body, nullptr, false);
-  if (!asked.is_object()) {
-    world_.promises.Break("a stage call that can't be read: '" + body + "'");
+  const json body_json = json::parse(body, nullptr, false);
+  if (!body_json.is_object()) {
+    context_.checker.AddViolation("a stage call that can't be read: '" + body +
+                                  "'");
     return "{}";
   }
-  for (const json& entry : asked.at("entries")) {
-    const PieceAsked piece{entry.at("id"), entry.at("phase"),
+  for (const json& entry : body_json.at("entries")) {
+    const SegmentCall call{entry.at("id"), entry.at("phase"),
                            entry.at("segment"), entry.value("key", ""),
                            entry.value("inputs", std::vector<std::string>{})};
-    world_.promises.OnPiece(piece);
+    context_.checker.OnSegmentCall(call);
     const bool gone = std::any_of(
-        piece.inputs.begin(), piece.inputs.end(),
-        [this](const std::string& i) { return !world_.results.contains(i); });
+        call.inputs.begin(), call.inputs.end(),
+        [this](const std::string& i) { return !context_.results.contains(i); });
     if (gone) {
       entries.push_back({{"reason", "gone"}});
       continue;
     }
     const std::string result =
-        world_.promises.NewResult(link().address(), piece);
-    world_.results.insert(result);
-    made_.insert(result);
+        context_.checker.AddResult(link().address(), call);
+    context_.results.insert(result);
+    results_.insert(result);
     entries.push_back({{"handle", result}});
   }
   return json{{"entries", std::move(entries)}}.dump();
 }
 
-void StageServer::Free(const std::string& body) {
+void StageServer::FreeResults(const std::string& body) {
   const json named = json::parse(body, nullptr, false);
   if (!named.is_object()) {
-    world_.promises.Break("a release that can't be read: '" + body + "'");
+    context_.checker.AddViolation("a release that can't be read: '" + body +
+                                  "'");
     return;
   }
   for (const json& result : named.at("handles")) {
-    world_.results.erase(result.get<std::string>());
-    made_.erase(result.get<std::string>());
+    context_.results.erase(result.get<std::string>());
+    results_.erase(result.get<std::string>());
   }
 }
 
 void StageServer::OnEnd() {
-  for (const std::string& result : made_) {
-    world_.results.erase(result);
+  for (const std::string& result : results_) {
+    context_.results.erase(result);
   }
-  made_.clear();
+  results_.clear();
   busy_ = false;
 }
 
--- a/tests/soak/soak_servers.h
+++ b/tests/soak/soak_servers.h
@@ -9,23 +9,24 @@
 #include <vector>
 
 #include "fault_proxy.h"
+#include "invariant_checker.h"
 #include "platform/tests/far_ends.h"
-#include "promises.h"
 
 namespace gentianroute::soak {
 
 /// @brief Figures of the faults of one server that has them.
 struct ServerFaults {
-  double lost_answers = 0;   ///< share of runs whose connection then closes
-  double stray_answers = 0;  ///< share of answers with another one behind them
-  double slower = 1;         ///< times as long
+  double lost_responses = 0;  ///< share of runs whose connection then closes
+  double stray_responses =
+      0;              ///< share of answers with another one behind them
+  double slower = 1;  ///< times as long
   double broken_streams = 0;
 };
 
 /// @brief What all servers of a run share.
-struct ServerWorld {
+struct ServerContext {
   EventLoop& loop;
-  Promises& promises;
+  InvariantChecker& checker;
   platform::FarStore& store;
   std::mt19937_64& random;
   std::set<std::string> results;  ///< of stages, that can still be read
@@ -34,7 +35,9 @@
 /// @brief A backend server that this process plays, behind a harmable link.
 class SoakServer {
  public:
-  SoakServer(ServerWorld& world, std::string service, std::string data_centre);
+  SoakServer(ServerContext& context,
+             std::string service,
+             std::string data_centre);
   virtual ~SoakServer();
   SoakServer(const SoakServer&) = delete;
   SoakServer& operator=(const SoakServer&) = delete;
@@ -47,12 +50,12 @@
   /// @brief Ends without a word; the list shows it later.
   void Crash();
   /// @brief Tells that it leaves, goes on for a while, then ends.
-  void Leave();
+  void Drain();
   void SetFaults(const ServerFaults& faults);
   FaultProxy& link() { return *link_; }
   /// @brief Requests that it has now, or will get, may be cut by a fault.
-  void HarmLink(FaultProxy::Mode mode, Duration delay);
-  void HealLink();
+  void ImpairLink(FaultProxy::Mode mode, Duration delay);
+  void RestoreLink();
   void SilenceOpenLinks();
 
  protected:
@@ -72,10 +75,10 @@
 
   virtual void OnEnd() {}
 
-  ServerWorld& world_;
+  ServerContext& context_;
   ServerFaults faults_;
   std::set<std::string> running_;  ///< requests that a fault here would cut
-  std::uint64_t life_ = 0;         ///< counts starts
+  std::uint64_t start_count_ = 0;  ///< counts starts
 
   /// @brief Notes that a request begins to run here.
   std::string BeginRun(const std::string& id,
@@ -86,7 +89,7 @@
   void OnRequest(Peer& peer, const MessageHead& head, const std::string& body);
   void WriteRow(const std::string& state);
   void End();
-  void ExcuseRunning();
+  void AllowIncompleteResponses();
 
   std::string service_;
   std::string data_centre_;
@@ -131,11 +134,11 @@
            const MessageHead& head,
            const std::string& body) override;
   void OnEnd() override;
-  std::string Make(const std::string& body);
-  void Free(const std::string& body);
+  std::string RunSegments(const std::string& body);
+  void FreeResults(const std::string& body);
 
   bool busy_ = false;
-  std::set<std::string> made_;
+  std::set<std::string> results_;
 };
 
 }  // namespace gentianroute::soak
