--- a/tests/demo/example.cc
+++ b/tests/demo/example.cc
@@ -64,8 +64,8 @@
 void Example::StartPlatform(std::uint16_t port) {
   platform_port_ = port;
   platform_ = std::make_unique<Process>(
-      std::vector<std::string>{Binary("standins/standin"), "platform", "--port",
-                               std::to_string(port)},
+      std::vector<std::string>{BinaryPath("standins/standin"), "platform",
+                               "--port", std::to_string(port)},
       Log("platform"));
   platform_->ReadPort();
 }
@@ -78,13 +78,13 @@
     }
     const std::string name = host.at("name");
     backends_.push_back(std::make_unique<Process>(
-        std::vector<std::string>{Binary("standins/standin"), "backend",
+        std::vector<std::string>{BinaryPath("standins/standin"), "backend",
                                  "--name", name, "--tokens",
                                  std::to_string(tokens_)},
         Log(name)));
     host["port"] = backends_.back()->ReadPort();
   }
-  Http(platform_port_, "PUT", "/control/hosts", hosts.dump());
+  CallHttp(platform_port_, "PUT", "/control/hosts", hosts.dump());
   std::ofstream(logs_ / "hosts.json") << hosts.dump(2) << "\n";
   std::printf("%zu backend servers and the platform's stand-in are up\n",
               backends_.size());
@@ -104,14 +104,14 @@
     entry.callers = settings.at("callers").at("port");
     entry.operators = settings.at("operators").at("port");
     entry.process = std::make_unique<Process>(
-        std::vector<std::string>{Binary("apps/gentianroute"), "--settings",
+        std::vector<std::string>{BinaryPath("apps/gentianroute"), "--settings",
                                  file.string()},
         Log(entry.name));
     entries_.push_back(std::move(entry));
   }
   for (const Entry& entry : entries_) {
     const bool up = Eventually(kStartSeconds, [&entry] {
-      return Http(entry.operators, "GET", "/healthz", "").status == 200;
+      return CallHttp(entry.operators, "GET", "/healthz", "").status == 200;
     });
     if (!up) {
       throw std::runtime_error(entry.name + " did not come up; see " +
@@ -122,7 +122,7 @@
 }
 
 void Example::Apply() {
-  Process apply({Binary("apps/gentianctl"), "--port",
+  Process apply({BinaryPath("apps/gentianctl"), "--port",
                  std::to_string(entries_.front().operators), "apply", "--wait",
                  std::to_string(kStartSeconds), "--author", "demo",
                  (folder_ / "profiles.json").string()},
@@ -137,7 +137,7 @@
               text.substr(std::min(summary, text.size())).c_str());
   for (const Entry& entry : entries_) {
     Eventually(kStartSeconds, [&entry] {
-      return Http(entry.operators, "GET", "/readyz", "").status == 200;
+      return CallHttp(entry.operators, "GET", "/readyz", "").status == 200;
     });
   }
 }
--- a/tests/demo/main.cc
+++ b/tests/demo/main.cc
@@ -14,15 +14,15 @@
 
 namespace {
 
-using gentianroute::testing::Answer;
-using gentianroute::testing::Binary;
+using gentianroute::testing::BinaryPath;
+using gentianroute::testing::CallHttp;
+using gentianroute::testing::ClientResponse;
 using gentianroute::testing::Entry;
 using gentianroute::testing::Example;
-using gentianroute::testing::Http;
 using gentianroute::testing::Process;
 using nlohmann::json;
 
-void PrintHeader(const Answer& answer, const std::string& name) {
+void PrintHeader(const ClientResponse& answer, const std::string& name) {
   const std::size_t at = answer.headers.find("\r\n" + name + ": ");
   if (at == std::string::npos) {
     return;
@@ -38,8 +38,9 @@
     headers.push_back("idempotency-key: " +
                       request.at("key").get<std::string>());
   }
-  const Answer answer = Http(entry.callers, "POST", "/v1/services/" + service,
-                             request.at("body").dump(), headers);
+  const ClientResponse answer =
+      CallHttp(entry.callers, "POST", "/v1/services/" + service,
+               request.at("body").dump(), headers);
   std::printf("\nPOST %s at %s (%s): %d\n", service.c_str(), entry.name.c_str(),
               entry.data_centre.c_str(), answer.status);
   PrintHeader(answer, "x-cost-micros");
@@ -61,7 +62,7 @@
 void ShowReport(const Example& example) {
   constexpr int kReportSeconds = 20;
   std::vector<std::string> command = {
-      Binary("apps/gentianctl"), "--port",
+      BinaryPath("apps/gentianctl"), "--port",
       std::to_string(example.entries().front().operators), "report"};
   for (const Entry& entry : example.entries()) {
     command.push_back("--also");
--- a/tests/demo/measure.cc
+++ b/tests/demo/measure.cc
@@ -17,7 +17,7 @@
 
 namespace {
 
-using gentianroute::testing::Binary;
+using gentianroute::testing::BinaryPath;
 using gentianroute::testing::Entry;
 using gentianroute::testing::Example;
 using gentianroute::testing::Process;
@@ -66,7 +66,7 @@
 /// Runs the load tool over all daemons.
 /// @return what it printed, as JSON
 json Load(const Example& example, double rate, int seconds) {
-  std::vector<std::string> command = {Binary("loadtool/load"),
+  std::vector<std::string> command = {BinaryPath("loadtool/load"),
                                       "--output",
                                       "json",
                                       "--rate",
--- a/tests/process/callers_test.cc
+++ b/tests/process/callers_test.cc
@@ -8,7 +8,7 @@
 
 #include "connection.h"
 #include "harness.h"
-#include "pipelines.h"
+#include "pipeline_fixture.h"
 
 #include <criterion/criterion.h>
 
@@ -20,15 +20,15 @@
 bool MakeCertificate(const Deployment& deployment) {
   Process openssl(
       {"/usr/bin/openssl", "req", "-x509", "-newkey", "rsa:2048", "-nodes",
-       "-days", "1", "-subj", "/CN=test", "-keyout", deployment.File("key.pem"),
-       "-out", deployment.File("cert.pem")},
-      deployment.File("openssl.err"));
+       "-days", "1", "-subj", "/CN=test", "-keyout",
+       deployment.FilePath("key.pem"), "-out", deployment.FilePath("cert.pem")},
+      deployment.FilePath("openssl.err"));
   return openssl.Wait(30) == 0;
 }
 
 /// Offers these protocols over TLS.
 /// @return the one that the daemon chose; empty: no connection
-std::string ChosenProtocol(std::uint16_t port, const std::string& offered) {
+std::string NegotiateProtocol(std::uint16_t port, const std::string& offered) {
   const std::unique_ptr<SSL_CTX, decltype(&SSL_CTX_free)> context(
       SSL_CTX_new(TLS_client_method()), &SSL_CTX_free);
   const std::unique_ptr<BIO, decltype(&BIO_free_all)> stream(
@@ -49,10 +49,10 @@
   return {reinterpret_cast<const char*>(chosen), length};
 }
 
-std::string AnswerTo(const Pipelines& run, const std::string& text) {
-  const Connection connection(run.deployment.caller_port(0));
+std::string SendRaw(const PipelineFixture& fixture, const std::string& text) {
+  const Connection connection(fixture.deployment.caller_port(0));
   connection.Send(text);
-  return connection.ReadAnswer();
+  return connection.ReadResponse();
 }
 
 }  // namespace
@@ -60,24 +60,26 @@
 TestSuite(callers);
 
 Test(callers, certificate_in_settings_serves_http2_by_alpn) {
-  Pipelines run(0, 1, 0);
-  cr_assert(MakeCertificate(run.deployment));
-  run.deployment.SetDaemonSettings(
-      R"({"callers": {"certificateFile": ")" + run.deployment.File("cert.pem") +
-      R"(", "keyFile": ")" + run.deployment.File("key.pem") + R"("}})");
-  run.deployment.AddDaemon();
-  const std::uint16_t port = run.deployment.caller_port(0);
-  cr_assert_eq(ChosenProtocol(port, "\x02h2\x08http/1.1"), "h2");
-  cr_assert_eq(ChosenProtocol(port, "\x08http/1.1"), "http/1.1");
+  PipelineFixture fixture(0, 1, 0);
+  cr_assert(MakeCertificate(fixture.deployment));
+  fixture.deployment.SetDaemonSettings(
+      R"({"callers": {"certificateFile": ")" +
+      fixture.deployment.FilePath("cert.pem") + R"(", "keyFile": ")" +
+      fixture.deployment.FilePath("key.pem") + R"("}})");
+  fixture.deployment.AddDaemon();
+  const std::uint16_t port = fixture.deployment.caller_port(0);
+  cr_assert_eq(NegotiateProtocol(port, "\x02h2\x08http/1.1"), "h2");
+  cr_assert_eq(NegotiateProtocol(port, "\x08http/1.1"), "http/1.1");
 }
 
 // What the caller sees: each request that can't be taken gets a clear answer,
 // and the daemon goes on serving.
 Test(callers, requests_that_cannot_be_taken_get_a_clear_problem) {
-  Pipelines run(1, 1, 0, R"({"limits": {"maxBodyBytes": 2048}})");
-  const auto post = [&run](const std::string& service, const std::string& body,
-                           const std::vector<std::string>& headers) {
-    return run.deployment.Post(0, service, body, headers);
+  PipelineFixture fixture(1, 1, 0, R"({"limits": {"maxBodyBytes": 2048}})");
+  const auto post = [&fixture](const std::string& service,
+                               const std::string& body,
+                               const std::vector<std::string>& headers) {
+    return fixture.deployment.Post(0, service, body, headers);
   };
   cr_assert(
       IsProblem(post("chat", std::string(4096, ' '), {}), "body_too_large"));
@@ -93,15 +95,15 @@
       post("chat", "{}", {"idempotency-key: " + std::string(300, 'k')}),
       "malformed_request"));
   cr_assert(IsProblem(post("nobody", "{}", {}), "unknown_service"));
-  const std::uint16_t port = run.deployment.caller_port(0);
-  cr_assert(
-      IsProblem(Http(port, "POST", "/v1/services/chat", "{}"), "unauthorised"));
-  cr_assert_eq(Http(port, "HEAD", "/v1/services/chat", "").status, 405);
-  cr_assert_eq(Http(port, "OPTIONS", "/v1/services/chat", "").status, 405);
-  cr_assert(AnswerTo(run, "GARBAGE\r\n\r\n").starts_with("http/1.1 400"));
-  cr_assert(AnswerTo(run,
-                     "POST /v1/services/chat HTTP/1.1\r\nhost: t\r\n"
-                     "content-length: abc\r\n\r\n")
+  const std::uint16_t port = fixture.deployment.caller_port(0);
+  cr_assert(IsProblem(CallHttp(port, "POST", "/v1/services/chat", "{}"),
+                      "unauthorised"));
+  cr_assert_eq(CallHttp(port, "HEAD", "/v1/services/chat", "").status, 405);
+  cr_assert_eq(CallHttp(port, "OPTIONS", "/v1/services/chat", "").status, 405);
+  cr_assert(SendRaw(fixture, "GARBAGE\r\n\r\n").starts_with("http/1.1 400"));
+  cr_assert(SendRaw(fixture,
+                    "POST /v1/services/chat HTTP/1.1\r\nhost: t\r\n"
+                    "content-length: abc\r\n\r\n")
                 .starts_with("http/1.1 400"));
   // The longest time that a number holds must not overflow into the past.
   cr_assert_eq(
@@ -111,25 +113,25 @@
 // What the caller sees: too_many_connections and not a reset, when the daemon
 // has as many connections as it takes; those that are open go on.
 Test(callers, one_connection_too_many_is_told_and_others_go_on) {
-  Pipelines run(1, 1, 0, R"({"limits": {"maxConnections": 2}})");
-  const Connection first(run.deployment.caller_port(0));
-  const Connection second(run.deployment.caller_port(0));
+  PipelineFixture fixture(1, 1, 0, R"({"limits": {"maxConnections": 2}})");
+  const Connection first(fixture.deployment.caller_port(0));
+  const Connection second(fixture.deployment.caller_port(0));
   first.Post("chat", "{}");
-  cr_assert(first.ReadAnswer().starts_with("http/1.1 200"));
+  cr_assert(first.ReadResponse().starts_with("http/1.1 200"));
   second.Post("chat", "{}");
-  cr_assert(second.ReadAnswer().starts_with("http/1.1 200"));
-  const Answer refused = run.Post(0, "chat", "third").get();
+  cr_assert(second.ReadResponse().starts_with("http/1.1 200"));
+  const ClientResponse refused = fixture.Post(0, "chat", "third").get();
   cr_assert(IsProblem(refused, "too_many_connections"), "%s",
             refused.body.c_str());
   first.Post("chat", "{}");
-  cr_assert(first.ReadAnswer().starts_with("http/1.1 200"));
+  cr_assert(first.ReadResponse().starts_with("http/1.1 200"));
 }
 
 // What the operator sees: one line for each request, and never a bearer key.
 Test(callers, log_has_one_line_per_request_and_no_key) {
-  Pipelines run(1, 1, 0);
-  cr_assert_eq(run.Post(0, "chat", "letter").get().status, 200);
-  const std::string log = run.deployment.Log(0);
+  PipelineFixture fixture(1, 1, 0);
+  cr_assert_eq(fixture.Post(0, "chat", "letter").get().status, 200);
+  const std::string log = fixture.deployment.ReadLog(0);
   const std::size_t line = log.find("event=request ");
   cr_assert(line != std::string::npos);
   cr_assert(log.find("event=request ", line + 1) == std::string::npos);
@@ -143,10 +145,10 @@
 // What other callers see: nothing. One caller sends half a request and stops;
 // the daemon closes that connection after ten seconds.
 Test(callers, half_a_request_is_closed_and_others_are_served) {
-  Pipelines run(1, 1, 0);
-  const Connection half(run.deployment.caller_port(0));
-  half.Send("POST /v1/services/chat HTTP/1.1\r\nhost: t\r\ncontent-le");
-  cr_assert_eq(run.Post(0, "chat", "letter").get().status, 200);
-  cr_assert_eq(half.ReadTo("\r\n\r\n"), "");
-  cr_assert_eq(run.Post(0, "chat", "letter").get().status, 200);
+  PipelineFixture fixture(1, 1, 0);
+  const Connection incomplete(fixture.deployment.caller_port(0));
+  incomplete.Send("POST /v1/services/chat HTTP/1.1\r\nhost: t\r\ncontent-le");
+  cr_assert_eq(fixture.Post(0, "chat", "letter").get().status, 200);
+  cr_assert_eq(incomplete.ReadUntil("\r\n\r\n"), "");
+  cr_assert_eq(fixture.Post(0, "chat", "letter").get().status, 200);
 }
--- a/tests/process/connection.cc
+++ b/tests/process/connection.cc
@@ -62,7 +62,7 @@
        "content-length: " + std::to_string(body.size()) + "\r\n\r\n" + body);
 }
 
-std::string Connection::ReadTo(std::string_view mark) const {
+std::string Connection::ReadUntil(std::string_view mark) const {
   std::string text;
   char c = 0;
   while (!text.ends_with(mark) && Receive(fd_, &c, 1) == 1) {
@@ -71,7 +71,7 @@
   return text;
 }
 
-void Connection::ReadFor(int milliseconds) const {
+void Connection::ReadUntilIdle(int milliseconds) const {
   pollfd readable{fd_, POLLIN, 0};
   char buffer[4096];
   while (poll(&readable, 1, milliseconds) == 1 &&
@@ -79,8 +79,8 @@
   }
 }
 
-std::string Connection::ReadAnswer() const {
-  std::string text = ReadTo(kHeadEnd);
+std::string Connection::ReadResponse() const {
+  std::string text = ReadUntil(kHeadEnd);
   std::ranges::transform(text, text.begin(), [](unsigned char c) {
     return static_cast<char>(std::tolower(c));
   });
--- a/tests/process/connection.h
+++ b/tests/process/connection.h
@@ -32,11 +32,11 @@
             const std::string& headers = "") const;
   /// @brief Reads until `mark` came, or the end.
   /// @return all that was read
-  std::string ReadTo(std::string_view mark) const;
+  std::string ReadUntil(std::string_view mark) const;
   /// @brief Reads what comes, until none came for that long.
-  void ReadFor(int milliseconds) const;
+  void ReadUntilIdle(int milliseconds) const;
   /// @brief Reads one answer that states its length.
-  std::string ReadAnswer() const;
+  std::string ReadResponse() const;
 
  private:
   int fd_;
--- a/tests/process/crashing_request_test.cc
+++ b/tests/process/crashing_request_test.cc
@@ -4,7 +4,7 @@
 #include <vector>
 
 #include "harness.h"
-#include "pipelines.h"
+#include "pipeline_fixture.h"
 
 #include <criterion/criterion.h>
 
@@ -16,32 +16,32 @@
 // is refused as quarantined; all others, whose work was on the same servers,
 // are answered. The servers come back as new processes.
 Test(crashing_request, is_quarantined_and_neighbours_are_answered) {
-  Pipelines run(1, 3, 0);
-  for (const std::size_t encoder : run.encoders) {
-    run.deployment.SetFaults(encoder,
-                             R"({"crash_marker": "poison", "delay_ms": 150})");
+  PipelineFixture fixture(1, 3, 0);
+  for (const std::size_t encoder : fixture.encoders) {
+    fixture.deployment.SetFaults(
+        encoder, R"({"crash_marker": "poison", "delay_ms": 150})");
   }
-  std::vector<std::future<Answer>> neighbours;
-  neighbours.reserve(9);
+  std::vector<std::future<ClientResponse>> others;
+  others.reserve(9);
   for (int i = 0; i < 9; ++i) {
-    neighbours.push_back(run.Post(0, "chat", "letter"));
+    others.push_back(fixture.Post(0, "chat", "letter"));
   }
   bool quarantined = false;
   for (int i = 0; i < 6 && !quarantined; ++i) {
-    const Answer poison = run.Post(0, "chat", "poison").get();
+    const ClientResponse poison = fixture.Post(0, "chat", "poison").get();
     cr_assert_neq(poison.status, 200);
     quarantined = IsProblem(poison, "quarantined");
-    for (const std::size_t encoder : run.encoders) {
-      if (run.deployment.backend(encoder).Wait(0) >= 0) {
-        run.deployment.RestartBackend(encoder);
-        run.deployment.SetFaults(encoder, R"({"crash_marker": "poison"})");
+    for (const std::size_t encoder : fixture.encoders) {
+      if (fixture.deployment.backend(encoder).Wait(0) >= 0) {
+        fixture.deployment.RestartBackend(encoder);
+        fixture.deployment.SetFaults(encoder, R"({"crash_marker": "poison"})");
       }
     }
     usleep(400'000);  // the daemon reads the host list
   }
   cr_assert(quarantined);
-  for (std::future<Answer>& neighbour : neighbours) {
-    const Answer answer = neighbour.get();
-    cr_assert_eq(answer.status, 200, "%s", answer.body.c_str());
+  for (std::future<ClientResponse>& other : others) {
+    const ClientResponse response = other.get();
+    cr_assert_eq(response.status, 200, "%s", response.body.c_str());
   }
 }
--- a/tests/process/drain_test.cc
+++ b/tests/process/drain_test.cc
@@ -7,7 +7,7 @@
 
 #include "connection.h"
 #include "harness.h"
-#include "pipelines.h"
+#include "pipeline_fixture.h"
 
 #include <criterion/criterion.h>
 
@@ -21,45 +21,46 @@
 // newcomers are served until the balancer has noticed. The store is down just
 // then, so the outcomes of the orders wait to be written.
 Test(drain, stop_under_load_answers_all_and_exits_zero) {
-  Pipelines run(2, 1, 1, R"({"limits": {"drainNoticeMs": 600}})");
-  run.deployment.SetFaults(run.encoders[0], R"({"delay_ms": 300})");
-  run.deployment.SetFaults(run.orders, R"({"delay_ms": 3000})");
-  std::vector<std::future<Answer>> answers;
-  answers.reserve(33);
+  PipelineFixture fixture(2, 1, 1, R"({"limits": {"drainNoticeMs": 600}})");
+  fixture.deployment.SetFaults(fixture.encoders[0], R"({"delay_ms": 300})");
+  fixture.deployment.SetFaults(fixture.orders, R"({"delay_ms": 3000})");
+  std::vector<std::future<ClientResponse>> responses;
+  responses.reserve(33);
   for (int i = 0; i < 24; ++i) {  // 8 slots: two thirds wait
-    answers.push_back(run.Post(0, "chat", "chat"));
+    responses.push_back(fixture.Post(0, "chat", "chat"));
   }
   for (int i = 0; i < 4; ++i) {
-    answers.push_back(run.Post(0, "drafting", "draft"));
-    answers.push_back(
-        run.Post(0, "ordering", "order", "key-" + std::to_string(i)));
+    responses.push_back(fixture.Post(0, "drafting", "draft"));
+    responses.push_back(
+        fixture.Post(0, "ordering", "order", "key-" + std::to_string(i)));
   }
-  const std::uint16_t operators = run.deployment.operator_port(0);
-  cr_assert(Eventually(
-      10, [&] { return run.deployment.Runs(run.orders, "order") == 4; }));
-  run.deployment.SetPlatformFaults(R"({"error_status": 503})");
-  run.deployment.daemon(0).Signal(SIGTERM);
+  const std::uint16_t operators = fixture.deployment.operator_port(0);
+  cr_assert(Eventually(10, [&] {
+    return fixture.deployment.RunCount(fixture.orders, "order") == 4;
+  }));
+  fixture.deployment.SetPlatformFaults(R"({"error_status": 503})");
+  fixture.deployment.daemon(0).Signal(SIGTERM);
   cr_assert(Eventually(5, [operators] {
-    return Http(operators, "GET", "/readyz", "").status == 503;
+    return CallHttp(operators, "GET", "/readyz", "").status == 503;
   }));
-  answers.push_back(run.Post(0, "chat", "newcomer"));
-  run.deployment.daemon(0).Signal(SIGTERM);
-  for (std::future<Answer>& answer : answers) {
-    const Answer got = answer.get();
+  responses.push_back(fixture.Post(0, "chat", "newcomer"));
+  fixture.deployment.daemon(0).Signal(SIGTERM);
+  for (std::future<ClientResponse>& response : responses) {
+    const ClientResponse got = response.get();
     cr_assert_eq(got.status, 200, "status %d: %s", got.status,
                  got.body.c_str());
   }
   usleep(300'000);  // a daemon that did not wait would be gone by now
-  run.deployment.SetPlatformFaults(R"({"error_status": 0})");
-  cr_assert_eq(run.deployment.daemon(0).Wait(20), 0);
+  fixture.deployment.SetPlatformFaults(R"({"error_status": 0})");
+  cr_assert_eq(fixture.deployment.daemon(0).Wait(20), 0);
   // The outcomes were written before the daemon ended: another one knows them.
   for (int i = 0; i < 4; ++i) {
-    const Answer again =
-        run.Post(1, "ordering", "order", "key-" + std::to_string(i)).get();
+    const ClientResponse again =
+        fixture.Post(1, "ordering", "order", "key-" + std::to_string(i)).get();
     cr_assert_eq(again.status, 200, "%s", again.body.c_str());
     cr_assert(again.headers.find("x-replayed: 1") != std::string::npos);
   }
-  cr_assert_eq(run.deployment.Runs(run.orders, "order"), 4);
+  cr_assert_eq(fixture.deployment.RunCount(fixture.orders, "order"), 4);
 }
 
 // What the caller sees: a request on its open connection is answered, though
@@ -67,36 +68,37 @@
 // accepting stopped, so the client could not know; the answer tells it to
 // close, and the daemon waits for that before it ends.
 Test(drain, request_on_open_connection_after_accepting_stopped_is_served) {
-  Pipelines run(1, 1, 0, R"({"limits": {"drainNoticeMs": 50}})");
-  const Connection connection(run.deployment.caller_port(0));
+  PipelineFixture fixture(1, 1, 0, R"({"limits": {"drainNoticeMs": 50}})");
+  const Connection connection(fixture.deployment.caller_port(0));
   connection.Post("chat", "{}");
-  cr_assert(connection.ReadAnswer().starts_with("http/1.1 200"));
-  run.deployment.daemon(0).Signal(SIGTERM);
+  cr_assert(connection.ReadResponse().starts_with("http/1.1 200"));
+  fixture.deployment.daemon(0).Signal(SIGTERM);
   cr_assert(Eventually(5, [&] {
-    return !Connection(run.deployment.caller_port(0)).connected();
+    return !Connection(fixture.deployment.caller_port(0)).connected();
   }));
   usleep(300'000);  // a daemon that did not wait would be gone by now
   connection.Post("chat", "{}");
-  const std::string answer = connection.ReadAnswer();
-  cr_assert(answer.starts_with("http/1.1 200"), "%s", answer.c_str());
-  cr_assert(answer.find("connection: close") != std::string::npos);
-  cr_assert_eq(run.deployment.daemon(0).Wait(20), 0);
+  const std::string response = connection.ReadResponse();
+  cr_assert(response.starts_with("http/1.1 200"), "%s", response.c_str());
+  cr_assert(response.find("connection: close") != std::string::npos);
+  cr_assert_eq(fixture.deployment.daemon(0).Wait(20), 0);
 }
 
 // What the operator sees: a daemon whose work does not end is stopped by the
 // drain deadline alone, which says in the log how much it cut off.
 Test(drain, deadline_is_the_only_cut_off_and_is_logged) {
-  Pipelines run(
+  PipelineFixture fixture(
       1, 1, 0, R"({"limits": {"drainNoticeMs": 50, "drainDeadlineMs": 1500}})");
-  run.deployment.SetFaults(run.orders, R"({"silent": true})");
-  const std::future<Answer> order = run.Post(0, "ordering", "stuck");
+  fixture.deployment.SetFaults(fixture.orders, R"({"silent": true})");
+  const std::future<ClientResponse> order =
+      fixture.Post(0, "ordering", "stuck");
   cr_assert(Eventually(5, [&] {
-    return Http(run.deployment.operator_port(0), "GET", "/status", "")
+    return CallHttp(fixture.deployment.operator_port(0), "GET", "/status", "")
                .body.find("\"active\": 1") != std::string::npos;
   }));
-  run.deployment.daemon(0).Signal(SIGTERM);
-  cr_assert_eq(run.deployment.daemon(0).Wait(20), 0);
-  const std::string log = run.deployment.Log(0);
+  fixture.deployment.daemon(0).Signal(SIGTERM);
+  cr_assert_eq(fixture.deployment.daemon(0).Wait(20), 0);
+  const std::string log = fixture.deployment.ReadLog(0);
   cr_assert(log.find("event=drain_deadline") != std::string::npos);
   cr_assert(log.find("cut_off=1") != std::string::npos);
 }
--- a/tests/process/engine_orders_test.cc
+++ b/tests/process/engine_orders_test.cc
@@ -8,8 +8,8 @@
 
 #include <criterion/criterion.h>
 
+using gentianroute::testing::CallHttp;
 using gentianroute::testing::Deployment;
-using gentianroute::testing::Http;
 
 namespace {
 
@@ -18,17 +18,17 @@
     {"model": "letters", "version": "2", "adapters": ["plaques"],
      "role": "decode", "count": 2}]}]
 })";
-constexpr const char* kWrong = R"({"fencing": 1, "desired":
+constexpr const char* kWrongModelOrder = R"({"fencing": 1, "desired":
   {"model": "old", "version": "1", "adapters": [], "role": "decode"}})";
 
-bool Reaches(const Deployment& deployment,
-             std::size_t engine,
-             const std::string& model) {
-  constexpr int kTries = 400;
-  for (int i = 0; i < kTries; ++i) {
-    const auto answer =
-        Http(deployment.backend_port(engine), "GET", "/v1/state", "");
-    if (answer.body.find("\"" + model + "\"") != std::string::npos) {
+bool WaitForModel(const Deployment& deployment,
+                  std::size_t engine,
+                  const std::string& model) {
+  constexpr int kMaxAttempts = 400;
+  for (int i = 0; i < kMaxAttempts; ++i) {
+    const auto response =
+        CallHttp(deployment.backend_port(engine), "GET", "/v1/state", "");
+    if (response.body.find("\"" + model + "\"") != std::string::npos) {
       return true;
     }
     usleep(100'000);
@@ -49,13 +49,14 @@
   deployment.AddDaemon();
   deployment.AddDaemon();
   deployment.Apply(kDeclarations);
-  cr_assert(Reaches(deployment, 0, "letters"));
-  cr_assert(Reaches(deployment, 1, "letters"));
+  cr_assert(WaitForModel(deployment, 0, "letters"));
+  cr_assert(WaitForModel(deployment, 1, "letters"));
   deployment.daemon(0).Signal(SIGKILL);
-  cr_assert_eq(
-      Http(deployment.backend_port(1), "POST", "/v1/orders", kWrong).status,
-      200);
-  cr_assert(Reaches(deployment, 1, "letters"));
+  cr_assert_eq(CallHttp(deployment.backend_port(1), "POST", "/v1/orders",
+                        kWrongModelOrder)
+                   .status,
+               200);
+  cr_assert(WaitForModel(deployment, 1, "letters"));
   deployment.daemon(1).Signal(SIGTERM);
   cr_assert_eq(deployment.daemon(1).Wait(10), 0);
 }
--- a/tests/process/frozen_platform_test.cc
+++ b/tests/process/frozen_platform_test.cc
@@ -1,7 +1,7 @@
 #include <signal.h>
 
 #include "harness.h"
-#include "pipelines.h"
+#include "pipeline_fixture.h"
 
 #include <criterion/criterion.h>
 
@@ -15,13 +15,14 @@
 // appears then must never be dispatched, nor block the key for good.
 Test(frozen_platform,
      resumed_after_claim_was_given_up_order_runs_at_most_once) {
-  Pipelines run(1, 1, 0);
-  run.deployment.platform().Signal(SIGSTOP);
-  const Answer order = run.Post(0, "ordering", "plaque", "key-1").get();
+  PipelineFixture fixture(1, 1, 0);
+  fixture.deployment.platform().Signal(SIGSTOP);
+  const ClientResponse order =
+      fixture.Post(0, "ordering", "plaque", "key-1").get();
   cr_assert(IsProblem(order, "store_unavailable"), "%s", order.body.c_str());
-  run.deployment.platform().Signal(SIGCONT);
+  fixture.deployment.platform().Signal(SIGCONT);
   cr_assert(Eventually(15, [&] {
-    return run.Post(0, "ordering", "plaque", "key-1").get().status == 200;
+    return fixture.Post(0, "ordering", "plaque", "key-1").get().status == 200;
   }));
-  cr_assert_eq(run.deployment.Runs(run.orders, "plaque"), 1);
+  cr_assert_eq(fixture.deployment.RunCount(fixture.orders, "plaque"), 1);
 }
--- a/tests/process/gentianctl_test.cc
+++ b/tests/process/gentianctl_test.cc
@@ -12,28 +12,29 @@
 
 #include <criterion/criterion.h>
 
+using gentianroute::testing::CallHttp;
 using gentianroute::testing::Deployment;
 using gentianroute::testing::Eventually;
-using gentianroute::testing::Http;
 using gentianroute::testing::Process;
 using nlohmann::json;
 
 namespace {
 
-constexpr const char* kFirst = R"({
+constexpr const char* kInitialDeclarations = R"({
   "pools": [{"name": "encoders"}, {"name": "llm", "kind": "engine"}],
   "profiles": [{"name": "drafts", "deadlineMs": 5000,
                 "stages": [{"name": "encode", "pool": "encoders"}]}]
 })";
-constexpr const char* kServices =
+constexpr const char* kServiceDeclarations =
     R"({"services": [{"name": "drafting", "profile": "drafts"}]})";
 
 std::unique_ptr<Deployment> deployment;
-int runs = 0;
+int run_count = 0;
 
-std::size_t PeersOf(std::size_t daemon) {
+std::size_t PeerCount(std::size_t daemon) {
   return json::parse(
-             Http(deployment->operator_port(daemon), "GET", "/status", "").body)
+             CallHttp(deployment->operator_port(daemon), "GET", "/status", "")
+                 .body)
       .at("peer_revisions")
       .size();
 }
@@ -45,50 +46,50 @@
   deployment->AddDaemon("dc-2", "region-2");
   deployment->AddDaemon("dc-3", "region-3");
   // The host list lags: the first daemon started before the others were in it.
-  cr_assert(Eventually(10, [] { return PeersOf(0) == 2; }));
+  cr_assert(Eventually(10, [] { return PeerCount(0) == 2; }));
 }
 
 void TearDown() {
   deployment.reset();
 }
 
-std::string Write(const std::string& name, const std::string& text) {
-  std::string path = deployment->File(name);
+std::string WriteFile(const std::string& name, const std::string& text) {
+  std::string path = deployment->FilePath(name);
   std::ofstream(path) << text;
   return path;
 }
 
-std::string Slurp(const std::string& path) {
+std::string ReadFile(const std::string& path) {
   std::ifstream file(path);
   std::stringstream text;
   text << file.rdbuf();
   return text.str();
 }
 
-/// What one run of gentianctl came to.
-struct Run {
+/// What one result of gentianctl came to.
+struct CtlResult {
   int code = -1;
   std::string errors;
   json output;  ///< with --output json
 };
 
-/// A run of gentianctl that goes on.
-struct Started {
+/// A result of gentianctl that goes on.
+struct RunningCtl {
   std::string errors;
   std::unique_ptr<Process> process;
 
-  Run Finish() {
-    Run run;
-    run.output = json::parse(process->ReadAll(), nullptr, false);
-    run.code = process->Wait(60);
-    run.errors = Slurp(errors);
-    return run;
+  CtlResult Finish() {
+    CtlResult result;
+    result.output = json::parse(process->ReadAll(), nullptr, false);
+    result.code = process->Wait(60);
+    result.errors = ReadFile(errors);
+    return result;
   }
 };
 
-Started Start(std::vector<std::string> arguments, std::size_t daemon) {
-  Started started;
-  started.errors = deployment->File("ctl" + std::to_string(++runs));
+RunningCtl StartCtl(std::vector<std::string> arguments, std::size_t daemon) {
+  RunningCtl started;
+  started.errors = deployment->FilePath("ctl" + std::to_string(++run_count));
   std::vector<std::string> command = {
       std::string(getenv("GENTIANROUTE_BIN")) + "/apps/gentianctl", "--port",
       std::to_string(deployment->operator_port(daemon)), "--output", "json"};
@@ -97,27 +98,29 @@
   return started;
 }
 
-Run Ctl(std::vector<std::string> arguments, std::size_t daemon = 0) {
-  return Start(std::move(arguments), daemon).Finish();
+CtlResult RunCtl(std::vector<std::string> arguments, std::size_t daemon = 0) {
+  return StartCtl(std::move(arguments), daemon).Finish();
 }
 
-std::uint64_t RevisionInForce(std::size_t daemon = 0) {
+std::uint64_t AppliedRevision(std::size_t daemon = 0) {
   return json::parse(
-             Http(deployment->operator_port(daemon), "GET", "/status", "").body)
+             CallHttp(deployment->operator_port(daemon), "GET", "/status", "")
+                 .body)
       .at("revision");
 }
 
 /// Two files applied: revision 1.
-void ApplyFirst() {
-  const Run run = Ctl({"apply", Write("first.json", kFirst),
-                       Write("services.json", kServices), "--author", "aino",
-                       "--wait", "30"});
-  cr_assert_eq(run.code, 0, "%s", run.output.dump().c_str());
-  cr_assert_eq(run.output.at("revision"), 1);
+void ApplyInitial() {
+  const CtlResult result =
+      RunCtl({"apply", WriteFile("first.json", kInitialDeclarations),
+              WriteFile("services.json", kServiceDeclarations), "--author",
+              "aino", "--wait", "30"});
+  cr_assert_eq(result.code, 0, "%s", result.output.dump().c_str());
+  cr_assert_eq(result.output.at("revision"), 1);
 }
 
-std::string WithDeadline(int milliseconds) {
-  std::string text = kFirst;
+std::string DeclarationsWithDeadline(int milliseconds) {
+  std::string text = kInitialDeclarations;
   const std::string old = "5000";
   return text.replace(text.find(old), old.size(), std::to_string(milliseconds));
 }
@@ -127,19 +130,20 @@
 TestSuite(gentianctl, .init = SetUp, .fini = TearDown, .timeout = 240);
 
 Test(gentianctl, apply_with_wait_returns_when_all_daemons_have_the_revision) {
-  ApplyFirst();
+  ApplyInitial();
   for (const std::size_t daemon : {0U, 1U, 2U}) {
-    cr_assert_eq(RevisionInForce(daemon), 1);
+    cr_assert_eq(AppliedRevision(daemon), 1);
   }
   const std::string also =
       "127.0.0.1:" + std::to_string(deployment->operator_port(2));
-  const Run run =
-      Ctl({"--also", also, "apply", Write("first.json", WithDeadline(4000)),
-           "--wait", "30"});
-  cr_assert_eq(run.code, 0);
-  cr_assert_eq(run.output.at("daemons").size(), 4U);
+  const CtlResult result =
+      RunCtl({"--also", also, "apply",
+              WriteFile("first.json", DeclarationsWithDeadline(4000)), "--wait",
+              "30"});
+  cr_assert_eq(result.code, 0);
+  cr_assert_eq(result.output.at("daemons").size(), 4U);
   for (const std::size_t daemon : {0U, 1U, 2U}) {
-    cr_assert_eq(RevisionInForce(daemon), 2);
+    cr_assert_eq(AppliedRevision(daemon), 2);
   }
 }
 
@@ -147,117 +151,130 @@
 // answers nobody. It was heard from a moment ago, so it counts as reachable,
 // and the wait must not report success for it.
 Test(gentianctl, apply_with_wait_tells_that_a_daemon_lags) {
-  ApplyFirst();
+  ApplyInitial();
   deployment->daemon(2).Signal(SIGSTOP);
-  const Run run =
-      Ctl({"apply", Write("first.json", WithDeadline(4000)), "--wait", "2"});
+  const CtlResult result =
+      RunCtl({"apply", WriteFile("first.json", DeclarationsWithDeadline(4000)),
+              "--wait", "2"});
   deployment->daemon(2).Signal(SIGCONT);
-  cr_assert_eq(run.code, 5, "%s", run.output.dump().c_str());
-  cr_assert_eq(run.output.at("in_force_everywhere"), false);
+  cr_assert_eq(result.code, 5, "%s", result.output.dump().c_str());
+  cr_assert_eq(result.output.at("in_force_everywhere"), false);
 }
 
 Test(gentianctl, diff_and_apply_see_only_what_differs) {
-  ApplyFirst();
-  const std::string same = Write("first.json", kFirst);
-  cr_assert_eq(Ctl({"diff", same}).code, 0);
-  const Run unchanged = Ctl({"apply", same});
+  ApplyInitial();
+  const std::string same = WriteFile("first.json", kInitialDeclarations);
+  cr_assert_eq(RunCtl({"diff", same}).code, 0);
+  const CtlResult unchanged = RunCtl({"apply", same});
   cr_assert_eq(unchanged.code, 0);
   cr_assert_eq(unchanged.output.at("changed"), false);
-  cr_assert_eq(RevisionInForce(), 1);
+  cr_assert_eq(AppliedRevision(), 1);
 
-  const std::string other = Write("other.json", WithDeadline(4000));
-  const Run diff = Ctl({"diff", other});
+  const std::string other =
+      WriteFile("other.json", DeclarationsWithDeadline(4000));
+  const CtlResult diff = RunCtl({"diff", other});
   cr_assert_eq(diff.code, 6);
   cr_assert_eq(diff.output.at("changes").size(), 1U);
   cr_assert_eq(diff.output.at("changes")[0].at("document"), "profile/drafts");
-  cr_assert_eq(RevisionInForce(), 1);
+  cr_assert_eq(AppliedRevision(), 1);
 }
 
 Test(gentianctl, apply_deletes_what_is_named_or_pruned_but_nothing_in_use) {
-  ApplyFirst();
-  const std::string services = Write("services.json", kServices);
-  const Run used = Ctl({"apply", services, "--delete", "pool/encoders"});
+  ApplyInitial();
+  const std::string services = WriteFile("services.json", kServiceDeclarations);
+  const CtlResult used =
+      RunCtl({"apply", services, "--delete", "pool/encoders"});
   cr_assert_eq(used.code, 2);
   cr_assert_eq(used.output.at("field"), "profile/drafts.stages[0].pool");
 
-  cr_assert_eq(Ctl({"apply", services, "--delete", "pool/llm"}).code, 0);
-  cr_assert_eq(Ctl({"get", "pool/llm"}).code, 1);
-  const std::string pool = Write("pool.json", R"({"pools": [{"name": "p"}]})");
-  const Run pruned = Ctl({"apply", pool, "--prune"});
+  cr_assert_eq(RunCtl({"apply", services, "--delete", "pool/llm"}).code, 0);
+  cr_assert_eq(RunCtl({"get", "pool/llm"}).code, 1);
+  const std::string pool =
+      WriteFile("pool.json", R"({"pools": [{"name": "p"}]})");
+  const CtlResult pruned = RunCtl({"apply", pool, "--prune"});
   cr_assert_eq(pruned.code, 0);
   cr_assert_eq(pruned.output.at("changes").size(), 4U);
-  cr_assert_eq(Ctl({"get", "profile/drafts"}).code, 1);
+  cr_assert_eq(RunCtl({"get", "profile/drafts"}).code, 1);
 }
 
 // Two operators start from revision 1. The first one's change is in force when
 // the second one applies his: he must see both sides and who was first, and
 // nothing of the first one's change may be lost.
 Test(gentianctl, second_of_two_racing_operators_sees_both_sides) {
-  ApplyFirst();
-  cr_assert_eq(Ctl({"apply", Write("a.json", WithDeadline(4000)), "--base", "1",
-                    "--author", "aino"})
-                   .code,
-               0);
-  const Run second = Ctl({"apply", Write("b.json", WithDeadline(3000)),
-                          "--base", "1", "--author", "bela"});
+  ApplyInitial();
+  cr_assert_eq(
+      RunCtl({"apply", WriteFile("a.json", DeclarationsWithDeadline(4000)),
+              "--base", "1", "--author", "aino"})
+          .code,
+      0);
+  const CtlResult second =
+      RunCtl({"apply", WriteFile("b.json", DeclarationsWithDeadline(3000)),
+              "--base", "1", "--author", "bela"});
   cr_assert_eq(second.code, 3);
   const json& conflict = second.output.at("conflicts").at(0);
   cr_assert_eq(conflict.at("yours").at("deadlineMs"), 3000);
   cr_assert_eq(conflict.at("theirs").at("deadlineMs"), 4000);
   cr_assert_eq(conflict.at("author"), "aino");
   cr_assert_eq(conflict.at("revision"), 2);
-  cr_assert_eq(RevisionInForce(), 2);
+  cr_assert_eq(AppliedRevision(), 2);
 }
 
 // The platform takes the change but its answers are lost, so the operator does
 // not know whether it stands. A second try with the same id must find it and
 // make no second revision.
 Test(gentianctl, lost_answer_is_settled_by_the_change_id) {
-  ApplyFirst();
-  const std::string file = Write("a.json", WithDeadline(4000));
+  ApplyInitial();
+  const std::string file = WriteFile("a.json", DeclarationsWithDeadline(4000));
   const auto faults = [](const std::string& text) {
-    Http(deployment->platform_port(), "PUT", "/control/faults", text);
+    CallHttp(deployment->platform_port(), "PUT", "/control/faults", text);
   };
   faults(R"({"lose_answers": true})");
-  const Run lost = Ctl({"apply", file, "--change-id", "first-try"});
+  const CtlResult unanswered =
+      RunCtl({"apply", file, "--change-id", "first-try"});
   faults(R"({"lose_answers": false})");
-  cr_assert_eq(lost.code, 4, "%s", lost.output.dump().c_str());
-  const Run again = Ctl({"apply", file, "--change-id", "first-try"});
+  cr_assert_eq(unanswered.code, 4, "%s", unanswered.output.dump().c_str());
+  const CtlResult again = RunCtl({"apply", file, "--change-id", "first-try"});
   cr_assert_eq(again.code, 0);
-  const Run third = Ctl({"apply", file, "--change-id", "first-try"});
+  const CtlResult third = RunCtl({"apply", file, "--change-id", "first-try"});
   cr_assert_eq(third.code, 0);
   cr_assert_eq(third.output.at("revision"), 2);
-  cr_assert_eq(RevisionInForce(), 2);
+  cr_assert_eq(AppliedRevision(), 2);
 }
 
 Test(gentianctl, rollback_restores_documents_as_a_new_revision) {
-  ApplyFirst();
-  const std::string pool = Write("p.json", R"({"pools": [{"name": "extra"}]})");
-  cr_assert_eq(Ctl({"apply", Write("a.json", WithDeadline(4000))}).code, 0);
-  cr_assert_eq(Ctl({"apply", pool, "--delete", "pool/llm"}).code, 0);
-  const Run back = Ctl({"rollback", "1", "--author", "bela", "--wait", "30"});
-  cr_assert_eq(back.code, 0, "%s", back.output.dump().c_str());
-  cr_assert_eq(RevisionInForce(), 4);
-  const Run profile = Ctl({"get", "profile/drafts"});
+  ApplyInitial();
+  const std::string pool =
+      WriteFile("p.json", R"({"pools": [{"name": "extra"}]})");
+  cr_assert_eq(
+      RunCtl({"apply", WriteFile("a.json", DeclarationsWithDeadline(4000))})
+          .code,
+      0);
+  cr_assert_eq(RunCtl({"apply", pool, "--delete", "pool/llm"}).code, 0);
+  const CtlResult rolled_back =
+      RunCtl({"rollback", "1", "--author", "bela", "--wait", "30"});
+  cr_assert_eq(rolled_back.code, 0, "%s", rolled_back.output.dump().c_str());
+  cr_assert_eq(AppliedRevision(), 4);
+  const CtlResult profile = RunCtl({"get", "profile/drafts"});
   cr_assert_eq(profile.output.at("body").at("deadlineMs"), 5000);
-  cr_assert_eq(Ctl({"get", "pool/llm"}).code, 0);
-  cr_assert_eq(Ctl({"get", "pool/extra"}).code, 1);
-  const Run history = Ctl({"history"});
+  cr_assert_eq(RunCtl({"get", "pool/llm"}).code, 0);
+  cr_assert_eq(RunCtl({"get", "pool/extra"}).code, 1);
+  const CtlResult history = RunCtl({"history"});
   cr_assert_eq(history.output.at("revisions").back().at("author"), "bela");
-  cr_assert_eq(Ctl({"rollback", "9"}).code, 2);
+  cr_assert_eq(RunCtl({"rollback", "9"}).code, 2);
 }
 
 Test(gentianctl, bad_file_or_argument_exits_two_and_names_the_field) {
-  const Run bad = Ctl({"validate", Write("bad.json", R"({"pools": [{}]})")});
+  const CtlResult bad =
+      RunCtl({"validate", WriteFile("bad.json", R"({"pools": [{}]})")});
   cr_assert_eq(bad.code, 2);
   cr_assert_eq(bad.output.at("field"), "pools[0].name");
-  const std::string first = Write("first.json", kFirst);
-  const std::string copy = Write("copy.json", kFirst);
-  const Run twice = Ctl({"validate", first, copy});
+  const std::string first = WriteFile("first.json", kInitialDeclarations);
+  const std::string copy = WriteFile("copy.json", kInitialDeclarations);
+  const CtlResult twice = RunCtl({"validate", first, copy});
   cr_assert_eq(twice.code, 2);
   cr_assert_eq(twice.output.at("file"), copy);
-  cr_assert_eq(Ctl({"no-such-command"}).code, 2);
-  cr_assert_eq(Ctl({"get", "drafts"}).code, 2);
+  cr_assert_eq(RunCtl({"no-such-command"}).code, 2);
+  cr_assert_eq(RunCtl({"get", "drafts"}).code, 2);
 }
 
 // Someone posts to the daemon without gentianctl. A body that no daemon can
@@ -270,78 +287,80 @@
                           {"name", "p"},
                           {"body", R"({"name": "p", "kind": "disk"})"},
                           {"base_revision", 0}}}}};
-  const auto answer =
-      Http(deployment->operator_port(0), "POST", "/v1/apply", change.dump());
-  cr_assert_eq(answer.status, 422);
-  cr_assert(answer.body.find("pool/p: kind") != std::string::npos);
-  cr_assert_eq(RevisionInForce(), 0);
+  const auto response = CallHttp(deployment->operator_port(0), "POST",
+                                 "/v1/apply", change.dump());
+  cr_assert_eq(response.status, 422);
+  cr_assert(response.body.find("pool/p: kind") != std::string::npos);
+  cr_assert_eq(AppliedRevision(), 0);
 }
 
 Test(gentianctl, drain_ends_the_daemon_in_a_planned_way) {
-  cr_assert_eq(Ctl({"status"}, 1).output.at("draining"), false);
-  cr_assert_eq(Ctl({"drain"}, 1).code, 0);
+  cr_assert_eq(RunCtl({"status"}, 1).output.at("draining"), false);
+  cr_assert_eq(RunCtl({"drain"}, 1).code, 0);
   cr_assert_eq(deployment->daemon(1).Wait(20), 0);
-  cr_assert_eq(Ctl({"status"}, 1).code, 4);
+  cr_assert_eq(RunCtl({"status"}, 1).code, 4);
 }
 
 // One of two services answers, the other one has no server. Both daemons count;
 // the report must add them up, and the page must stand on its own.
 Test(gentianctl, report_adds_daemons_up_and_writes_one_page) {
-  ApplyFirst();
-  const std::string broken = Write("broken.json", R"({
+  ApplyInitial();
+  const std::string broken = WriteFile("broken.json", R"({
     "profiles": [{"name": "<b>", "stages": [{"name": "gen", "pool": "llm"}]}],
     "services": [{"name": "<broken>", "profile": "<b>"}]})");
-  cr_assert_eq(Ctl({"apply", broken, "--wait", "30"}).code, 0);
+  cr_assert_eq(RunCtl({"apply", broken, "--wait", "30"}).code, 0);
   for (const std::size_t daemon : {0U, 1U, 1U}) {
     cr_assert_eq(deployment->Post(daemon, "drafting", "{}").status, 200);
   }
   deployment->Post(0, "<broken>", "{}");
 
-  const std::string page = deployment->File("report.html");
+  const std::string page = deployment->FilePath("report.html");
   const std::string also =
       "127.0.0.1:" + std::to_string(deployment->operator_port(1));
-  const Run run = Ctl({"--also", also, "report", "--html", page});
-  cr_assert_eq(run.code, 0, "%s", run.output.dump().c_str());
-  const json& services = run.output.at("services");
+  const CtlResult result = RunCtl({"--also", also, "report", "--html", page});
+  cr_assert_eq(result.code, 0, "%s", result.output.dump().c_str());
+  const json& services = result.output.at("services");
   cr_assert_eq(services.size(), 2U);
   cr_assert_eq(services[0].at("service"), "<broken>");
   cr_assert_eq(services[0].at("attained"), 0);
   cr_assert(services[0].at("windows")[0].at("burn_rate") > 1);
   cr_assert_eq(services[1].at("total"), 3);
   cr_assert_eq(services[1].at("windows")[3].at("attained"), 3);
-  cr_assert_eq(run.output.at("stages")[0].at("runs"), 3);
-  cr_assert_eq(run.output.at("daemons").size(), 3U);
+  cr_assert_eq(result.output.at("stages")[0].at("runs"), 3);
+  cr_assert_eq(result.output.at("daemons").size(), 3U);
 
-  const std::string html = Slurp(page);
+  const std::string html = ReadFile(page);
   cr_assert(html.find("&lt;broken&gt;") != std::string::npos);
   for (const char* foreign : {"<broken>", "<script", "http:", "https:"}) {
     cr_assert(html.find(foreign) == std::string::npos, "%s", foreign);
   }
   deployment->daemon(1).Signal(SIGKILL);
   deployment->daemon(1).Wait(10);
-  const Run partial = Ctl({"--also", also, "report"});
+  const CtlResult partial = RunCtl({"--also", also, "report"});
   cr_assert_eq(partial.code, 4);
   cr_assert_eq(partial.output.at("unreachable").at(0), also);
 }
 
 Test(gentianctl, metrics_name_the_service_after_its_first_request) {
-  ApplyFirst();
+  ApplyInitial();
   deployment->Post(0, "drafting", "{}");
-  const auto answer = Http(deployment->operator_port(0), "GET", "/metrics", "");
+  const auto response =
+      CallHttp(deployment->operator_port(0), "GET", "/metrics", "");
   const std::string line =
       "gentianroute_answers_total{service=\"drafting\",profile=\"drafts\"} 1\n";
-  cr_assert(answer.body.find(line) != std::string::npos);
+  cr_assert(response.body.find(line) != std::string::npos);
 }
 
 // The address of one more daemon is mistyped, or nobody listens there. The
 // change must not be made and then reported as an error.
 Test(gentianctl, mistyped_daemon_is_refused_before_and_silent_one_is_a_lag) {
-  const std::string file = Write("first.json", kFirst);
-  const Run mistyped = Ctl({"--also", "nowhere", "apply", file, "--wait", "1"});
+  const std::string file = WriteFile("first.json", kInitialDeclarations);
+  const CtlResult mistyped =
+      RunCtl({"--also", "nowhere", "apply", file, "--wait", "1"});
   cr_assert_eq(mistyped.code, 2);
-  cr_assert_eq(RevisionInForce(), 0);
-  const Run silent =
-      Ctl({"--also", "127.0.0.1:1", "apply", file, "--wait", "1"});
+  cr_assert_eq(AppliedRevision(), 0);
+  const CtlResult silent =
+      RunCtl({"--also", "127.0.0.1:1", "apply", file, "--wait", "1"});
   cr_assert_eq(silent.code, 5, "%s", silent.output.dump().c_str());
   cr_assert_eq(silent.output.at("revision"), 1);
 }
@@ -350,21 +369,22 @@
 // revision 1, and the slow platform takes one change first. The other operator
 // must be told, with both sides, and not overwrite what he has not seen.
 Test(gentianctl, two_applies_at_once_let_one_through_and_show_both_sides) {
-  ApplyFirst();
-  cr_assert(Eventually(10, [] { return RevisionInForce(1) == 1; }));
-  Http(deployment->platform_port(), "PUT", "/control/faults",
-       R"({"delay_ms": 400})");
-  const std::string first = Write("a.json", WithDeadline(4000));
-  const std::string second = Write("b.json", WithDeadline(3000));
-  Started one = Start({"apply", first, "--author", "aino"}, 0);
-  Started two = Start({"apply", second, "--author", "bela"}, 1);
-  const Run ended[] = {one.Finish(), two.Finish()};
-  const Run& won = ended[0].code == 0 ? ended[0] : ended[1];
-  const Run& lost = ended[0].code == 0 ? ended[1] : ended[0];
-  cr_assert_eq(won.code, 0, "%s", won.output.dump().c_str());
-  cr_assert_eq(lost.code, 3, "%s", lost.output.dump().c_str());
-  const json& conflict = lost.output.at("conflicts").at(0);
+  ApplyInitial();
+  cr_assert(Eventually(10, [] { return AppliedRevision(1) == 1; }));
+  CallHttp(deployment->platform_port(), "PUT", "/control/faults",
+           R"({"delay_ms": 400})");
+  const std::string first = WriteFile("a.json", DeclarationsWithDeadline(4000));
+  const std::string second =
+      WriteFile("b.json", DeclarationsWithDeadline(3000));
+  RunningCtl one = StartCtl({"apply", first, "--author", "aino"}, 0);
+  RunningCtl two = StartCtl({"apply", second, "--author", "bela"}, 1);
+  const CtlResult ended[] = {one.Finish(), two.Finish()};
+  const CtlResult& winner = ended[0].code == 0 ? ended[0] : ended[1];
+  const CtlResult& loser = ended[0].code == 0 ? ended[1] : ended[0];
+  cr_assert_eq(winner.code, 0, "%s", winner.output.dump().c_str());
+  cr_assert_eq(loser.code, 3, "%s", loser.output.dump().c_str());
+  const json& conflict = loser.output.at("conflicts").at(0);
   cr_assert_eq(conflict.at("revision"), 2);
   cr_assert_neq(conflict.at("yours"), conflict.at("theirs"));
-  cr_assert_eq(RevisionInForce(&won == &ended[0] ? 0 : 1), 2);
+  cr_assert_eq(AppliedRevision(&winner == &ended[0] ? 0 : 1), 2);
 }
--- a/tests/process/harness.cc
+++ b/tests/process/harness.cc
@@ -22,12 +22,12 @@
 
 Deployment::Deployment() : folder_(MakeTestFolder()) {
   platform_ = std::make_unique<Process>(
-      std::vector<std::string>{Binary("standins/standin"), "platform"},
-      File("platform.err"));
+      std::vector<std::string>{BinaryPath("standins/standin"), "platform"},
+      FilePath("platform.err"));
   platform_port_ = platform_->ReadPort();
 }
 
-std::string Deployment::File(const std::string& name) const {
+std::string Deployment::FilePath(const std::string& name) const {
   return folder_ + "/" + name;
 }
 
@@ -35,92 +35,93 @@
                                    const std::vector<std::string>& options,
                                    const std::string& data_centre,
                                    const std::string& region) {
-  Host host;
-  host.name = pool + "-" + std::to_string(backends_.size());
-  host.pool = pool;
-  host.data_centre = data_centre;
-  host.region = region;
-  std::vector<std::string> command = {Binary("standins/standin"), "backend",
-                                      "--name", host.name};
+  BackendServer server;
+  server.name = pool + "-" + std::to_string(backends_.size());
+  server.pool = pool;
+  server.data_centre = data_centre;
+  server.region = region;
+  std::vector<std::string> command = {BinaryPath("standins/standin"), "backend",
+                                      "--name", server.name};
   command.insert(command.end(), options.begin(), options.end());
-  host.process = std::make_unique<Process>(command, File(host.name + ".err"));
-  host.port = host.process->ReadPort();
-  host.command = std::move(command);
-  host.command.insert(host.command.end(),
-                      {"--port", std::to_string(host.port)});
-  backends_.push_back(std::move(host));
+  server.process =
+      std::make_unique<Process>(command, FilePath(server.name + ".err"));
+  server.port = server.process->ReadPort();
+  server.command = std::move(command);
+  server.command.insert(server.command.end(),
+                        {"--port", std::to_string(server.port)});
+  backends_.push_back(std::move(server));
   PublishHosts();
   return backends_.size() - 1;
 }
 
 void Deployment::RestartBackend(std::size_t index) {
-  Host& host = backends_[index];
-  host.process =
-      std::make_unique<Process>(host.command, File(host.name + ".err"));
-  host.process->ReadPort();
-  ++host.incarnation;
+  BackendServer& server = backends_[index];
+  server.process =
+      std::make_unique<Process>(server.command, FilePath(server.name + ".err"));
+  server.process->ReadPort();
+  ++server.incarnation;
   PublishHosts();
 }
 
 void Deployment::SetFaults(std::size_t backend,
                            const std::string& faults) const {
-  Http(backend_port(backend), "PUT", "/control/faults", faults);
+  CallHttp(backend_port(backend), "PUT", "/control/faults", faults);
 }
 
 void Deployment::SetPlatformFaults(const std::string& faults) const {
-  Http(platform_port_, "PUT", "/control/faults", faults);
+  CallHttp(platform_port_, "PUT", "/control/faults", faults);
 }
 
-std::uint64_t Deployment::Runs(std::size_t backend,
-                               const std::string& marker) const {
-  const Answer answer =
-      Http(backend_port(backend), "GET", "/control/counts", "");
-  return json::parse(answer.body).at("by_marker").value(marker, 0U);
+std::uint64_t Deployment::RunCount(std::size_t backend,
+                                   const std::string& marker) const {
+  const ClientResponse response =
+      CallHttp(backend_port(backend), "GET", "/control/counts", "");
+  return json::parse(response.body).at("by_marker").value(marker, 0U);
 }
 
-std::string Deployment::Log(std::size_t daemon) const {
-  std::ifstream file(File(daemons_[daemon].name + ".err"));
+std::string Deployment::ReadLog(std::size_t daemon) const {
+  std::ifstream file(FilePath(daemons_[daemon].name + ".err"));
   return {std::istreambuf_iterator<char>(file), {}};
 }
 
 void Deployment::PublishHosts() {
   json hosts = json::array();
-  for (const Host& host : backends_) {
-    hosts.push_back({{"name", host.name},
+  for (const BackendServer& server : backends_) {
+    hosts.push_back({{"name", server.name},
                      {"address", "127.0.0.1"},
-                     {"port", host.port},
-                     {"pool", host.pool},
-                     {"data_centre", host.data_centre},
-                     {"region", host.region},
-                     {"incarnation", host.incarnation},
+                     {"port", server.port},
+                     {"pool", server.pool},
+                     {"data_centre", server.data_centre},
+                     {"region", server.region},
+                     {"incarnation", server.incarnation},
                      {"slots", 8}});
   }
   for (const Daemon& daemon : daemons_) {
     hosts.push_back({{"name", daemon.name},
                      {"address", "127.0.0.1"},
-                     {"port", daemon.peers},
+                     {"port", daemon.peer_port},
                      {"pool", "gentianroute"},
                      {"data_centre", daemon.data_centre},
                      {"region", daemon.region},
                      {"incarnation", 1}});
   }
-  Http(platform_port_, "PUT", "/control/hosts", hosts.dump());
+  CallHttp(platform_port_, "PUT", "/control/hosts", hosts.dump());
 }
 
 std::size_t Deployment::AddDaemon(const std::string& data_centre,
                                   const std::string& region) {
   // Between the drawing of a port and the daemon's listening another program
   // may take it. That is no fault of the daemon: it is given others.
-  constexpr int kTries = 3;
+  constexpr int kMaxAttempts = 3;
   Daemon daemon;
   daemon.name = "entry-" + std::to_string(daemons_.size());
   daemon.data_centre = data_centre;
   daemon.region = region;
-  bool up = false;
-  for (int i = 0; i < kTries && !up; ++i) {
-    up = StartDaemon(daemon);
+  bool started = false;
+  for (int i = 0; i < kMaxAttempts && !started; ++i) {
+    started = StartDaemon(daemon);
   }
-  if (!up) {
+  if (!started) {
     throw std::runtime_error("the daemon did not come up");
   }
   daemons_.push_back(std::move(daemon));
@@ -129,60 +130,62 @@
 }
 
 bool Deployment::StartDaemon(Daemon& daemon) const {
-  daemon.callers = draw_port_();
-  daemon.operators = draw_port_();
-  daemon.peers = draw_port_();
+  daemon.caller_port = allocate_port_();
+  daemon.operator_port = allocate_port_();
+  daemon.peer_port = allocate_port_();
   json seeds = json::array();
   for (const Daemon& other : daemons_) {
     seeds.push_back({{"name", other.name},
                      {"dataCentre", other.data_centre},
-                     {"port", other.peers}});
+                     {"port", other.peer_port}});
   }
   json settings = {
       {"name", daemon.name},
       {"seeds", std::move(seeds)},
       {"dataCentre", daemon.data_centre},
       {"region", daemon.region},
-      {"callers", {{"port", daemon.callers}}},
-      {"operators", {{"port", daemon.operators}}},
-      {"peers", {{"port", daemon.peers}}},
+      {"callers", {{"port", daemon.caller_port}}},
+      {"operators", {{"port", daemon.operator_port}}},
+      {"peers", {{"port", daemon.peer_port}}},
       {"platform",
        {{"port", platform_port_}, {"pollMs", 100}, {"timeoutMs", 500}}},
       {"organisations",
        {{{"name", "test"},
          {"keys", {{{"subscriber", "tester"}, {"sha256", kTestKeyDigest}}}}}}},
   };
-  settings.merge_patch(json::parse(settings_));
-  const std::string file = File(daemon.name + ".json");
+  settings.merge_patch(json::parse(daemon_settings_));
+  const std::string file = FilePath(daemon.name + ".json");
   std::ofstream(file) << settings.dump(2);
   daemon.process = std::make_unique<Process>(
-      std::vector<std::string>{Binary("apps/gentianroute"), "--settings", file},
-      File(daemon.name + ".err"));
-  bool answers = false;
-  Eventually(10, [&daemon, &answers] {
-    answers = Http(daemon.operators, "GET", "/healthz", "").status == 200;
-    return answers || daemon.process->Wait(0) >= 0;
+      std::vector<std::string>{BinaryPath("apps/gentianroute"), "--settings",
+                               file},
+      FilePath(daemon.name + ".err"));
+  bool is_up = false;
+  Eventually(10, [&daemon, &is_up] {
+    is_up = CallHttp(daemon.operator_port, "GET", "/healthz", "").status == 200;
+    return is_up || daemon.process->Wait(0) >= 0;
   });
-  return answers;
+  return is_up;
 }
 
 int Deployment::TryApply(const std::string& declarations) {
-  const std::string file = File("declarations.json");
+  const std::string file = FilePath("declarations.json");
   std::ofstream(file) << declarations;
-  Process apply({Binary("apps/gentianctl"), "--port",
+  Process apply({BinaryPath("apps/gentianctl"), "--port",
                  std::to_string(operator_port(0)), "apply", file},
-                File("apply.err"));
+                FilePath("apply.err"));
   return apply.Wait(10);
 }
 
 void Deployment::Apply(const std::string& declarations) {
   if (TryApply(declarations) != 0) {
-    throw std::runtime_error("apply failed; see " + File("apply.err"));
+    throw std::runtime_error("apply failed; see " + FilePath("apply.err"));
   }
   for (const Daemon& daemon : daemons_) {
     const bool ready = Eventually(10, [&daemon] {
-      const Answer answer = Http(daemon.operators, "GET", "/status", "");
-      const json status = json::parse(answer.body, nullptr, false);
+      const ClientResponse response =
+          CallHttp(daemon.operator_port, "GET", "/status", "");
+      const json status = json::parse(response.body, nullptr, false);
       return status.is_object() && status.value("revision", 0) > 0 &&
              !status.at("servers").empty();
     });
@@ -192,13 +195,13 @@
   }
 }
 
-Answer Deployment::Post(std::size_t daemon,
-                        const std::string& service,
-                        const std::string& body,
-                        std::vector<std::string> headers) const {
+ClientResponse Deployment::Post(std::size_t daemon,
+                                const std::string& service,
+                                const std::string& body,
+                                std::vector<std::string> headers) const {
   headers.emplace_back("authorization: Bearer test-key");
-  return Http(caller_port(daemon), "POST", "/v1/services/" + service, body,
-              headers);
+  return CallHttp(caller_port(daemon), "POST", "/v1/services/" + service, body,
+                  headers);
 }
 
 }  // namespace gentianroute::testing
--- a/tests/process/harness.h
+++ b/tests/process/harness.h
@@ -27,20 +27,20 @@
   std::size_t AddDaemon(const std::string& data_centre = "dc-1",
                         const std::string& region = "region-1");
   /// @brief Where the ports of daemons that are added from now on come from.
-  void SetPortSource(std::function<std::uint16_t()> source) {
-    draw_port_ = std::move(source);
+  void SetPortAllocator(std::function<std::uint16_t()> allocator) {
+    allocate_port_ = std::move(allocator);
   }
   /// @brief Merged over the settings of daemons that are added from now on.
-  void SetDaemonSettings(const std::string& patch) { settings_ = patch; }
+  void SetDaemonSettings(const std::string& patch) { daemon_settings_ = patch; }
   /// @brief Starts a backend server again on its port, as a new incarnation.
   void RestartBackend(std::size_t index);
   /// @brief Sets fault switches of a backend server, or of the platform.
   void SetFaults(std::size_t backend, const std::string& faults) const;
   void SetPlatformFaults(const std::string& faults) const;
   /// @brief How often a backend server ran requests with this marker in them.
-  std::uint64_t Runs(std::size_t backend, const std::string& marker) const;
+  std::uint64_t RunCount(std::size_t backend, const std::string& marker) const;
   /// @brief What a daemon has logged so far.
-  std::string Log(std::size_t daemon) const;
+  std::string ReadLog(std::size_t daemon) const;
   /// @brief Applies declarations through a daemon, and waits until all have
   /// them in force.
   void Apply(const std::string& declarations);
@@ -58,21 +58,21 @@
     return backends_[index].port;
   }
   std::uint16_t caller_port(std::size_t index) const {
-    return daemons_[index].callers;
+    return daemons_[index].caller_port;
   }
   std::uint16_t operator_port(std::size_t index) const {
-    return daemons_[index].operators;
+    return daemons_[index].operator_port;
   }
   /// @brief Posts to a service as the test's subscriber.
-  Answer Post(std::size_t daemon,
-              const std::string& service,
-              const std::string& body,
-              std::vector<std::string> headers = {}) const;
+  ClientResponse Post(std::size_t daemon,
+                      const std::string& service,
+                      const std::string& body,
+                      std::vector<std::string> headers = {}) const;
   /// @brief Path below this test's own folder for files.
-  std::string File(const std::string& name) const;
+  std::string FilePath(const std::string& name) const;
 
  private:
-  struct Host {
+  struct BackendServer {
     std::unique_ptr<Process> process;
     std::vector<std::string> command;
     std::uint64_t incarnation = 1;
@@ -87,21 +87,21 @@
     std::string name;
     std::string data_centre;
     std::string region;
-    std::uint16_t callers = 0;
-    std::uint16_t operators = 0;
-    std::uint16_t peers = 0;
+    std::uint16_t caller_port = 0;
+    std::uint16_t operator_port = 0;
+    std::uint16_t peer_port = 0;
   };
 
   /// @return whether the daemon answers; it does not if another program has
   /// taken one of its ports meanwhile
   bool StartDaemon(Daemon& daemon) const;
 
-  std::function<std::uint16_t()> draw_port_ = &FreePort;
+  std::function<std::uint16_t()> allocate_port_ = &FreePort;
   std::string folder_;
-  std::string settings_ = "{}";
+  std::string daemon_settings_ = "{}";
   std::unique_ptr<Process> platform_;
   std::uint16_t platform_port_ = 0;
-  std::vector<Host> backends_;
+  std::vector<BackendServer> backends_;
   std::vector<Daemon> daemons_;
 };
 
--- a/tests/process/history_test.cc
+++ b/tests/process/history_test.cc
@@ -4,7 +4,7 @@
 #include <string>
 
 #include "harness.h"
-#include "pipelines.h"
+#include "pipeline_fixture.h"
 
 #include <criterion/criterion.h>
 
@@ -14,9 +14,10 @@
 namespace {
 
 /// Requests that the longest window of a service shows.
-std::uint64_t LongestWindow(std::uint16_t operators, const std::string& name) {
-  const Answer answer = Http(operators, "GET", "/v1/report", "");
-  const json report = json::parse(answer.body, nullptr, false);
+std::uint64_t CountInLongestWindow(std::uint16_t operators,
+                                   const std::string& name) {
+  const ClientResponse response = CallHttp(operators, "GET", "/v1/report", "");
+  const json report = json::parse(response.body, nullptr, false);
   if (!report.is_object()) {
     return 0;
   }
@@ -36,14 +37,16 @@
 // its name; the three-day window still shows what the first one answered. Hosts
 // have no disks, so the first one left its counts in the platform's store.
 Test(history, host_replaced_under_its_name_goes_on_counting) {
-  Pipelines run(1, 1, 0);
-  cr_assert_eq(run.Post(0, "chat", "question").get().status, 200);
-  cr_assert_eq(LongestWindow(run.deployment.operator_port(0), "chat"), 1U);
-  run.deployment.daemon(0).Signal(SIGTERM);
-  cr_assert_eq(run.deployment.daemon(0).Wait(30), 0);
-  run.deployment.SetDaemonSettings(R"({"name": "entry-0"})");
-  const std::size_t next = run.deployment.AddDaemon();
+  PipelineFixture fixture(1, 1, 0);
+  cr_assert_eq(fixture.Post(0, "chat", "question").get().status, 200);
+  cr_assert_eq(
+      CountInLongestWindow(fixture.deployment.operator_port(0), "chat"), 1U);
+  fixture.deployment.daemon(0).Signal(SIGTERM);
+  cr_assert_eq(fixture.deployment.daemon(0).Wait(30), 0);
+  fixture.deployment.SetDaemonSettings(R"({"name": "entry-0"})");
+  const std::size_t replacement = fixture.deployment.AddDaemon();
   cr_assert(Eventually(15, [&] {
-    return LongestWindow(run.deployment.operator_port(next), "chat") == 1;
+    return CountInLongestWindow(fixture.deployment.operator_port(replacement),
+                                "chat") == 1;
   }));
 }
--- a/tests/process/malformed_test.cc
+++ b/tests/process/malformed_test.cc
@@ -10,7 +10,7 @@
 
 #include "connection.h"
 #include "harness.h"
-#include "pipelines.h"
+#include "pipeline_fixture.h"
 
 #include <criterion/criterion.h>
 
@@ -22,31 +22,32 @@
 constexpr int kBatches = 10;
 constexpr int kRequestsPerBatch = 300;
 // A moment to be answered in; those that do not read go away at once.
-constexpr int kReadMilliseconds = 10;
+constexpr int kIdleReadMilliseconds = 10;
 constexpr std::uint64_t kMaxGrowthKilobytes = 32 * 1024;
 
 /// A request before it is put on the wire.
-struct Draft {
+struct RequestDraft {
   std::string line = "POST /v1/services/chat HTTP/1.1";
   std::string headers =
       "host: test\r\nauthorization: Bearer test-key\r\nconnection: close\r\n";
   std::string body = R"({"marker": "m", "prompt": "a letter", "n": [1, 2]})";
-  bool length = true;
+  bool has_length = true;
 
   std::string Text() const {
     const std::string stated =
-        length ? "content-length: " + std::to_string(body.size()) + "\r\n" : "";
+        has_length ? "content-length: " + std::to_string(body.size()) + "\r\n"
+                   : "";
     return line + "\r\n" + headers + stated + "\r\n" + body;
   }
 };
 
 using Random = std::mt19937_64;
 
-std::size_t Below(Random& random, std::size_t bound) {
+std::size_t RandomBelow(Random& random, std::size_t bound) {
   return random() % bound;
 }
 
-std::string Noise(Random& random, std::size_t size) {
+std::string RandomBytes(Random& random, std::size_t size) {
   std::string text(size, '\0');
   std::ranges::generate(text,
                         [&random] { return static_cast<char>(random()); });
@@ -56,10 +57,10 @@
 template <std::size_t kSize>
 std::string Pick(Random& random,
                  const std::array<std::string_view, kSize>& choices) {
-  return std::string(choices[Below(random, kSize)]);
+  return std::string(choices[RandomBelow(random, kSize)]);
 }
 
-void BadPath(Random& random, Draft& draft) {
+void SetBadPath(Random& random, RequestDraft& draft) {
   static constexpr std::array<std::string_view, 10> kPaths = {
       "/v1/services/%",     "/v1/services/%zz",
       "/v1/services/%00",   "/v1/services/../../..",
@@ -69,7 +70,7 @@
   draft.line = "POST " + Pick(random, kPaths) + " HTTP/1.1";
 }
 
-void BadLine(Random& random, Draft& draft) {
+void SetBadRequestLine(Random& random, RequestDraft& draft) {
   static constexpr std::array<std::string_view, 8> kLines = {
       "POST /v1/services/chat HTTP/9.9",
       "POST /v1/services/chat",
@@ -82,7 +83,7 @@
   draft.line = Pick(random, kLines);
 }
 
-void BadHeader(Random& random, Draft& draft) {
+void AddBadHeader(Random& random, RequestDraft& draft) {
   static constexpr std::array<std::string_view, 14> kHeaders = {
       "content-length: -1",
       "content-length: 99999999999999999999",
@@ -99,63 +100,64 @@
       "upgrade: h2c\r\nconnection: upgrade\r\nhttp2-settings: !!!!",
       ": no name"};
   draft.headers += Pick(random, kHeaders) + "\r\n";
-  draft.length = Below(random, 2) == 0;
+  draft.has_length = RandomBelow(random, 2) == 0;
 }
 
-void BadChunks(Random& random, Draft& draft) {
+void SetBadChunks(Random& random, RequestDraft& draft) {
   static constexpr std::array<std::string_view, 5> kBodies = {
       "zz\r\nabc\r\n0\r\n\r\n", "ffffffffffffffffff\r\nabc", "5\r\nabc",
       "3\r\nabcdef\r\n0\r\n\r\n", "0\r\nx: y\r\n"};
   draft.headers += "transfer-encoding: chunked\r\n";
-  draft.length = false;
+  draft.has_length = false;
   draft.body = Pick(random, kBodies);
 }
 
-void BadJson(Random& random, Draft& draft) {
+void SetBadJson(Random& random, RequestDraft& draft) {
   static constexpr std::array<std::string_view, 6> kBodies = {
       R"({"a":)",       R"({"a": "\ud800"})",
       "[1e999]",        "nul",
       "\xef\xbb\xbf{}", R"({"prompt": 7, "conversation": null})"};
-  draft.body = Below(random, 2) == 0 ? Pick(random, kBodies)
-                                     : Noise(random, Below(random, 200));
+  draft.body = RandomBelow(random, 2) == 0
+                   ? Pick(random, kBodies)
+                   : RandomBytes(random, RandomBelow(random, 200));
 }
 
-void Deep(Random& random, Draft& draft) {
-  draft.body = std::string(1 + Below(random, 30'000), '[');
+void SetDeeplyNestedJson(Random& random, RequestDraft& draft) {
+  draft.body = std::string(1 + RandomBelow(random, 30'000), '[');
 }
 
-void Oversized(Random& random, Draft& draft) {
-  if (Below(random, 2) == 0) {
-    draft.body = std::string(5000 + Below(random, 100'000), ' ');
+void MakeOversized(Random& random, RequestDraft& draft) {
+  if (RandomBelow(random, 2) == 0) {
+    draft.body = std::string(5000 + RandomBelow(random, 100'000), ' ');
   } else {
     draft.headers +=
-        "x-big: " + std::string(Below(random, 120'000), 'x') + "\r\n";
+        "x-big: " + std::string(RandomBelow(random, 120'000), 'x') + "\r\n";
   }
 }
 
-void FlipBytes(Random& random, Draft& draft) {
+void ReplaceBytes(Random& random, RequestDraft& draft) {
   for (std::string* part : {&draft.line, &draft.headers, &draft.body}) {
     if (part->empty()) {
       continue;
     }
-    (*part)[Below(random, part->size())] = static_cast<char>(random());
+    (*part)[RandomBelow(random, part->size())] = static_cast<char>(random());
   }
 }
 
-using Mutation = void (*)(Random&, Draft&);
+using Mutation = void (*)(Random&, RequestDraft&);
 constexpr std::array<Mutation, 8> kMutations = {
-    &BadPath, &BadLine, &BadHeader, &BadChunks,
-    &BadJson, &Deep,    &Oversized, &FlipBytes};
+    &SetBadPath, &SetBadRequestLine,   &AddBadHeader,  &SetBadChunks,
+    &SetBadJson, &SetDeeplyNestedJson, &MakeOversized, &ReplaceBytes};
 
-std::string Mutate(Random& random) {
-  Draft draft;
-  const std::size_t count = 1 + Below(random, 2);
+std::string MakeMutatedRequest(Random& random) {
+  RequestDraft draft;
+  const std::size_t count = 1 + RandomBelow(random, 2);
   for (std::size_t i = 0; i < count; ++i) {
-    kMutations[Below(random, kMutations.size())](random, draft);
+    kMutations[RandomBelow(random, kMutations.size())](random, draft);
   }
   std::string text = draft.Text();
-  if (Below(random, 3) == 0) {
-    text.resize(Below(random, text.size()));  // the caller goes away
+  if (RandomBelow(random, 3) == 0) {
+    text.resize(RandomBelow(random, text.size()));  // the caller goes away
   }
   return text;
 }
@@ -164,9 +166,9 @@
 void SendSplit(Random& random,
                const Connection& connection,
                std::string_view text) {
-  const std::size_t writes = 1 + Below(random, 3);
+  const std::size_t writes = 1 + RandomBelow(random, 3);
   for (std::size_t i = 1; i < writes && text.size() > 1; ++i) {
-    const std::size_t size = 1 + Below(random, text.size() - 1);
+    const std::size_t size = 1 + RandomBelow(random, text.size() - 1);
     connection.Send(text.substr(0, size));
     text.remove_prefix(size);
     usleep(100);
@@ -195,30 +197,31 @@
 // truncated, oversized and garbled ones, in pieces, and hang up at any moment;
 // none of that ends the daemon or makes it keep memory.
 Test(malformed, mutated_requests_leave_daemon_serving_in_bounded_memory) {
-  Pipelines run(1, 1, 0, R"({"limits": {"maxBodyBytes": 65536}})");
-  const pid_t daemon = run.deployment.daemon(0).id();
-  const std::uint16_t port = run.deployment.caller_port(0);
+  PipelineFixture fixture(1, 1, 0, R"({"limits": {"maxBodyBytes": 65536}})");
+  const pid_t daemon = fixture.deployment.daemon(0).id();
+  const std::uint16_t port = fixture.deployment.caller_port(0);
   Random random(kSeed);
-  std::uint64_t first = 0;
+  std::uint64_t first_kilobytes = 0;
   for (int batch = 0; batch < kBatches; ++batch) {
     for (int i = 0; i < kRequestsPerBatch; ++i) {
-      const std::string text = Mutate(random);
+      const std::string text = MakeMutatedRequest(random);
       const Connection connection(port);
       cr_assert(connection.connected(), "batch %d, request %d", batch, i);
       SendSplit(random, connection, text);
-      if (Below(random, 4) == 0) {
-        connection.ReadFor(kReadMilliseconds);
+      if (RandomBelow(random, 4) == 0) {
+        connection.ReadUntilIdle(kIdleReadMilliseconds);
       }
     }
-    const Answer good = run.Post(0, "chat", "letter").get();
-    cr_assert_eq(good.status, 200, "batch %d: %s", batch, good.body.c_str());
-    cr_assert_eq(run.deployment.daemon(0).Wait(0), -1, "batch %d", batch);
+    const ClientResponse response = fixture.Post(0, "chat", "letter").get();
+    cr_assert_eq(response.status, 200, "batch %d: %s", batch,
+                 response.body.c_str());
+    cr_assert_eq(fixture.deployment.daemon(0).Wait(0), -1, "batch %d", batch);
     const std::uint64_t kilobytes = ResidentKilobytes(daemon);
     cr_assert_gt(kilobytes, 0);
     // The first batch fills pools and buffers that stay.
-    first = batch == 0 ? kilobytes : first;
-    cr_assert_leq(kilobytes, first + kMaxGrowthKilobytes,
+    first_kilobytes = batch == 0 ? kilobytes : first_kilobytes;
+    cr_assert_leq(kilobytes, first_kilobytes + kMaxGrowthKilobytes,
                   "batch %d: %lu kB, after the first %lu kB", batch, kilobytes,
-                  first);
+                  first_kilobytes);
   }
 }
--- a/tests/process/outage_start_test.cc
+++ b/tests/process/outage_start_test.cc
@@ -1,27 +1,27 @@
 #include <string>
 
 #include "harness.h"
-#include "pipelines.h"
+#include "pipeline_fixture.h"
 
 #include <criterion/criterion.h>
 
+using gentianroute::testing::CallHttp;
 using gentianroute::testing::Eventually;
-using gentianroute::testing::Http;
-using gentianroute::testing::Pipelines;
+using gentianroute::testing::PipelineFixture;
 
 // The platform answers nobody, and a host is replaced. The new one gets the
 // configuration from a peer, says that it is ready, and the balancer sends it
 // callers. They are answered: the backend servers are as well as before.
 Test(outage_start, new_host_beside_one_that_knows_serves_callers) {
-  Pipelines pipelines(1, 1, 1);
-  auto& deployment = pipelines.deployment;
+  PipelineFixture fixture(1, 1, 1);
+  auto& deployment = fixture.deployment;
   deployment.SetPlatformFaults(R"({"silent": true})");
   const std::size_t added = deployment.AddDaemon();
   const bool ready = Eventually(20, [&] {
-    return Http(deployment.operator_port(added), "GET", "/readyz", "").status ==
-           200;
+    return CallHttp(deployment.operator_port(added), "GET", "/readyz", "")
+               .status == 200;
   });
   cr_assert(ready);
-  const auto answer = pipelines.Post(added, "chat", "x").get();
-  cr_expect_eq(answer.status, 200, "%s", answer.body.c_str());
+  const auto response = fixture.Post(added, "chat", "x").get();
+  cr_expect_eq(response.status, 200, "%s", response.body.c_str());
 }
--- a/tests/process/pipelines.cc
+++ b/tests/process/pipeline_fixture.cc
@@ -1,4 +1,4 @@
-#include "pipelines.h"
+#include "pipeline_fixture.h"
 
 namespace gentianroute::testing {
 namespace {
@@ -24,10 +24,10 @@
 
 }  // namespace
 
-Pipelines::Pipelines(std::size_t daemons,
-                     std::size_t encoder_count,
-                     std::size_t engine_count,
-                     const std::string& settings) {
+PipelineFixture::PipelineFixture(std::size_t daemons,
+                                 std::size_t encoder_count,
+                                 std::size_t engine_count,
+                                 const std::string& settings) {
   for (std::size_t i = 0; i < encoder_count; ++i) {
     encoders.push_back(deployment.AddBackend("encoders"));
   }
@@ -45,24 +45,26 @@
   }
 }
 
-std::future<Answer> Pipelines::Post(std::size_t daemon,
-                                    const std::string& service,
-                                    const std::string& marker,
-                                    const std::string& key) const {
+std::future<ClientResponse> PipelineFixture::Post(
+    std::size_t daemon,
+    const std::string& service,
+    const std::string& marker,
+    const std::string& key) const {
   std::vector<std::string> headers = {"authorization: Bearer test-key"};
   if (!key.empty()) {
     headers.push_back("idempotency-key: " + key);
   }
   constexpr int kSeconds = 40;
-  return std::async(
-      std::launch::async, [=, port = deployment.caller_port(daemon)] {
-        return Http(port, "POST", "/v1/services/" + service,
-                    R"({"marker": ")" + marker + R"("})", headers, kSeconds);
-      });
+  return std::async(std::launch::async,
+                    [=, port = deployment.caller_port(daemon)] {
+                      return CallHttp(port, "POST", "/v1/services/" + service,
+                                      R"({"marker": ")" + marker + R"("})",
+                                      headers, kSeconds);
+                    });
 }
 
-bool IsProblem(const Answer& answer, const std::string& kind) {
-  return answer.body.find("\"kind\":\"" + kind + "\"") != std::string::npos;
+bool IsProblem(const ClientResponse& response, const std::string& kind) {
+  return response.body.find("\"kind\":\"" + kind + "\"") != std::string::npos;
 }
 
 }  // namespace gentianroute::testing
--- a/tests/process/platform_mode_test.cc
+++ b/tests/process/platform_mode_test.cc
@@ -23,14 +23,14 @@
 using namespace gentianroute;
 using gentianroute::platform::FarStore;
 using gentianroute::platform::RawServer;
+using gentianroute::testing::CallHttp;
 using gentianroute::testing::FreePort;
-using gentianroute::testing::Http;
 using gentianroute::testing::Process;
 using nlohmann::json;
 
 namespace {
 
-constexpr int kSeconds = 10;
+constexpr int kTimeoutSeconds = 10;
 
 /// The program with a store that knows one route and one server.
 struct ProgramFixture {
@@ -42,10 +42,10 @@
         peer.SendAnswer(200, "Gentianroute-Response-Signature: s\r\n",
                         "got " + body);
       }};
-  std::uint16_t callers = FreePort();
-  std::uint16_t readiness = FreePort();
-  std::uint16_t peers = FreePort();
-  std::uint16_t metrics = FreePort();
+  std::uint16_t caller_port = FreePort();
+  std::uint16_t readiness_port = FreePort();
+  std::uint16_t peer_port = FreePort();
+  std::uint16_t metrics_port = FreePort();
   std::string folder = testing::MakeTestFolder();
   std::unique_ptr<Process> program;
 
@@ -68,46 +68,47 @@
       return "127.0.0.1:" + std::to_string(port);
     };
     file << "nodeName=edge-1\nzone=north\nip=127.0.0.1\n"
-         << "listen.frontend=" << at(callers) << "\n"
-         << "listen.readiness=" << at(readiness) << "\n"
-         << "portRange=" << peers << "," << peers << "\n"
+         << "listen.frontend=" << at(caller_port) << "\n"
+         << "listen.readiness=" << at(readiness_port) << "\n"
+         << "portRange=" << peer_port << "," << peer_port << "\n"
          << "platform.address=" << store.server().address() << "\n"
          << "bounds.graceS=4\n";
     file.close();
     setenv("GENTIANROUTE_SETTINGS", path.c_str(), 1);
     program = std::make_unique<Process>(
-        std::vector<std::string>{testing::Binary("apps/gentianroute"),
+        std::vector<std::string>{testing::BinaryPath("apps/gentianroute"),
                                  "--platform", "--metrics-port",
-                                 std::to_string(metrics)},
+                                 std::to_string(metrics_port)},
         folder + "/errors");
   }
 
   /// Asks the program while the store and the server of this process go on.
-  testing::Answer Ask(std::uint16_t port,
-                      const std::string& method,
-                      const std::string& path,
-                      const std::string& body = "") {
-    testing::Answer answer;
-    std::thread asking([&] {
-      answer = Http(port, method, path, body, {"gentianroute-request-id: r1"},
-                    kSeconds);
+  testing::ClientResponse SendRequest(std::uint16_t port,
+                                      const std::string& method,
+                                      const std::string& path,
+                                      const std::string& body = "") {
+    testing::ClientResponse response;
+    std::thread request_thread([&] {
+      response = CallHttp(port, method, path, body,
+                          {"gentianroute-request-id: r1"}, kTimeoutSeconds);
       done = true;
     });
     while (!done) {
-      Pass();
+      RunLoop();
     }
     done = false;
-    asking.join();
-    return answer;
+    request_thread.join();
+    return response;
   }
-  void Pass() {
+  void RunLoop() {
     loop.After(std::chrono::milliseconds(5), [this] { loop.Stop(); });
     loop.Run();
   }
   bool BecomesReady() {
-    constexpr int kTries = 200;
-    for (int i = 0; i < kTries; ++i) {
-      if (Ask(readiness, "GET", "/gentianroute/readyz").status == 200) {
+    constexpr int kMaxAttempts = 200;
+    for (int i = 0; i < kMaxAttempts; ++i) {
+      if (SendRequest(readiness_port, "GET", "/gentianroute/readyz").status ==
+          200) {
         return true;
       }
     }
@@ -122,10 +123,12 @@
 Test(platform_mode, program_serves_a_request_and_counts_it) {
   ProgramFixture fixture;
   cr_assert(fixture.BecomesReady());
-  const auto answer = fixture.Ask(fixture.callers, "POST", "/x/1", "hi");
-  cr_assert_eq(answer.status, 200);
-  cr_assert(answer.body == "got hi");
-  const auto counters = fixture.Ask(fixture.metrics, "GET", "/metrics");
+  const auto response =
+      fixture.SendRequest(fixture.caller_port, "POST", "/x/1", "hi");
+  cr_assert_eq(response.status, 200);
+  cr_assert(response.body == "got hi");
+  const auto counters =
+      fixture.SendRequest(fixture.metrics_port, "GET", "/metrics");
   cr_assert(
       counters.body.find(
           "gentianroute_gateway_requests_total{outcome=\"answered\"} 1") !=
@@ -136,5 +139,5 @@
   ProgramFixture fixture;
   cr_assert(fixture.BecomesReady());
   fixture.program->Signal(SIGTERM);
-  cr_assert_eq(fixture.program->Wait(kSeconds), 0);
+  cr_assert_eq(fixture.program->Wait(kTimeoutSeconds), 0);
 }
--- a/tests/process/ports_test.cc
+++ b/tests/process/ports_test.cc
@@ -17,50 +17,50 @@
 // second.
 Test(ports, no_port_is_given_twice) {
   constexpr int kPorts = 3000;
-  std::set<std::uint16_t> given;
+  std::set<std::uint16_t> allocated;
   for (int i = 0; i < kPorts; ++i) {
-    cr_assert(given.insert(FreePort()).second);
+    cr_assert(allocated.insert(FreePort()).second);
   }
 }
 
 namespace {
 
 /// Another process that draws ports and holds them until it is let go.
-class OtherProcess {
+class PortHolder {
  public:
-  explicit OtherProcess(std::size_t ports) {
-    if (pipe(drawn_) != 0 || pipe(let_go_) != 0) {
+  explicit PortHolder(std::size_t ports) {
+    if (pipe(ports_pipe_) != 0 || pipe(release_pipe_) != 0) {
       _exit(1);
     }
     if (fork() == 0) {
-      close(let_go_[1]);
-      Draw(ports);
+      close(release_pipe_[1]);
+      AllocatePorts(ports);
       _exit(0);
     }
-    close(let_go_[0]);
+    close(release_pipe_[0]);
   }
-  ~OtherProcess() { close(let_go_[1]); }
+  ~PortHolder() { close(release_pipe_[1]); }
 
-  std::uint16_t Next() const {
+  std::uint16_t NextPort() const {
     std::uint16_t port = 0;
-    return read(drawn_[0], &port, sizeof(port)) == sizeof(port) ? port : 0;
+    return read(ports_pipe_[0], &port, sizeof(port)) == sizeof(port) ? port : 0;
   }
 
  private:
-  void Draw(std::size_t ports) const {
+  void AllocatePorts(std::size_t ports) const {
     for (std::size_t i = 0; i < ports; ++i) {
       const std::uint16_t port = FreePort();
-      if (write(drawn_[1], &port, sizeof(port)) != sizeof(port)) {
+      if (write(ports_pipe_[1], &port, sizeof(port)) != sizeof(port)) {
         return;
       }
     }
     char c = 0;
-    while (read(let_go_[0], &c, 1) > 0) {
+    while (read(release_pipe_[0], &c, 1) > 0) {
     }
   }
 
-  int drawn_[2];
-  int let_go_[2];
+  int ports_pipe_[2];
+  int release_pipe_[2];
 };
 
 }  // namespace
@@ -70,14 +70,14 @@
 // that came second could not listen on it.
 Test(ports, no_port_is_given_to_two_processes) {
   constexpr std::size_t kPorts = 1500;
-  const OtherProcess first(kPorts);
-  const OtherProcess second(kPorts);
-  std::set<std::uint16_t> given;
-  for (const OtherProcess* process : {&first, &second}) {
+  const PortHolder first(kPorts);
+  const PortHolder second(kPorts);
+  std::set<std::uint16_t> allocated;
+  for (const PortHolder* process : {&first, &second}) {
     for (std::size_t i = 0; i < kPorts; ++i) {
-      const std::uint16_t port = process->Next();
+      const std::uint16_t port = process->NextPort();
       cr_assert_neq(port, 0);
-      cr_assert(given.insert(port).second, "%u was given twice", port);
+      cr_assert(allocated.insert(port).second, "%u was given twice", port);
     }
   }
 }
@@ -87,7 +87,7 @@
 Test(ports, daemon_whose_port_was_taken_gets_others) {
   testing::Deployment deployment;
   std::uint16_t taken = deployment.platform_port();
-  deployment.SetPortSource(
+  deployment.SetPortAllocator(
       [&taken] { return taken == 0 ? FreePort() : std::exchange(taken, 0); });
   const std::size_t daemon = deployment.AddDaemon();
   cr_assert_neq(deployment.caller_port(daemon), deployment.platform_port());
--- a/tests/process/prefix_affinity_test.cc
+++ b/tests/process/prefix_affinity_test.cc
@@ -3,7 +3,7 @@
 #include <thread>
 #include <vector>
 
-#include "pipelines.h"
+#include "pipeline_fixture.h"
 
 #include <criterion/criterion.h>
 
@@ -11,15 +11,15 @@
 
 namespace {
 
-constexpr int kConversations = 8;  // on each engine
+constexpr int kConversationsPerEngine = 8;  // on each engine
 
 std::uint64_t CacheHits(const Deployment& deployment, std::size_t engine) {
-  const Answer answer =
-      Http(deployment.backend_port(engine), "GET", "/control/counts", "");
-  return nlohmann::json::parse(answer.body).at("cache_hits");
+  const ClientResponse response =
+      CallHttp(deployment.backend_port(engine), "GET", "/control/counts", "");
+  return nlohmann::json::parse(response.body).at("cache_hits");
 }
 
-std::string Body(int round, std::size_t engine, int number) {
+std::string RequestBody(int round, std::size_t engine, int number) {
   return R"({"conversation": "letters )" + std::to_string(round) + "/" +
          std::to_string(engine) + "/" + std::to_string(number) + R"("})";
 }
@@ -27,27 +27,27 @@
 /// Begins conversations at each engine itself, then goes on with each of them
 /// through the daemon.
 /// @return whether every engine was sent its own ones
-bool EachGoesToItsHolder(const Pipelines& pipelines, int round) {
-  const Deployment& deployment = pipelines.deployment;
+bool AllReachTheirEngine(const PipelineFixture& fixture, int round) {
+  const Deployment& deployment = fixture.deployment;
   std::vector<std::uint64_t> before;
-  for (const std::size_t engine : pipelines.engines) {
-    for (int i = 0; i < kConversations; ++i) {
-      Http(deployment.backend_port(engine), "POST", "/v1/generate",
-           R"({"request": )" + Body(round, engine, i) + "}",
-           {"x-attempt-id: 1", "x-resume-offset: 100"});
+  for (const std::size_t engine : fixture.engines) {
+    for (int i = 0; i < kConversationsPerEngine; ++i) {
+      CallHttp(deployment.backend_port(engine), "POST", "/v1/generate",
+               R"({"request": )" + RequestBody(round, engine, i) + "}",
+               {"x-attempt-id: 1", "x-resume-offset: 100"});
     }
     before.push_back(CacheHits(deployment, engine));
   }
   std::this_thread::sleep_for(std::chrono::seconds(2));  // events come late
-  for (int i = 0; i < kConversations; ++i) {
-    for (const std::size_t engine : pipelines.engines) {
-      deployment.Post(0, "drafting", Body(round, engine, i));
+  for (int i = 0; i < kConversationsPerEngine; ++i) {
+    for (const std::size_t engine : fixture.engines) {
+      deployment.Post(0, "drafting", RequestBody(round, engine, i));
     }
   }
   bool all = true;
-  for (std::size_t i = 0; i < pipelines.engines.size(); ++i) {
-    all = all && CacheHits(deployment, pipelines.engines[i]) ==
-                     before[i] + kConversations;
+  for (std::size_t i = 0; i < fixture.engines.size(); ++i) {
+    all = all && CacheHits(deployment, fixture.engines[i]) ==
+                     before[i] + kConversationsPerEngine;
   }
   return all;
 }
@@ -60,10 +60,10 @@
 // the machine was too slow for the events is repeated with new conversations;
 // by chance alone a round succeeds once in 65536.
 Test(prefix_affinity, repeated_conversations_go_to_the_engine_that_holds_them) {
-  const Pipelines pipelines(1, 1, 2);
+  const PipelineFixture fixture(1, 1, 2);
   bool all = false;
   for (int round = 0; round < 3 && !all; ++round) {
-    all = EachGoesToItsHolder(pipelines, round);
+    all = AllReachTheirEngine(fixture, round);
   }
   cr_assert(all, "some conversation was sent to the engine without it");
 }
--- a/tests/process/process.cc
+++ b/tests/process/process.cc
@@ -27,7 +27,7 @@
 
 /// Processes that run, as far as is known. Never destroyed: tests with a
 /// deployment in a static variable end theirs last of all.
-std::set<pid_t>& Running() {
+std::set<pid_t>& RunningProcesses() {
   static auto* processes = new std::set<pid_t>;
   return *processes;
 }
@@ -35,8 +35,8 @@
 /// A failed assertion leaves its test by a jump and destroys nothing: the
 /// processes that the test started would run on, a frozen one for ever. The
 /// process of a test exits after each failed assertion, and then runs this.
-void EndRunning() {
-  for (const pid_t process : Running()) {
+void KillRunningProcesses() {
+  for (const pid_t process : RunningProcesses()) {
     kill(process, SIGKILL);
   }
 }
@@ -65,7 +65,7 @@
 /// on it, and tests run side by side drew the same one; the second daemon then
 /// ended with "address already in use". The kernel drops the lock when the
 /// process ends, however it ends.
-bool Reserve(std::uint16_t port) {
+bool ReservePort(std::uint16_t port) {
   static const int file =
       open("/tmp/gentianroute-test-ports", O_RDWR | O_CREAT | O_CLOEXEC, 0666);
   struct flock lock {};
@@ -77,17 +77,17 @@
 }
 
 /// Whether TCP and UDP are both free there; daemons use one port for both.
-bool IsFree(std::uint16_t port) {
+bool IsPortFree(std::uint16_t port) {
   for (const int type : {SOCK_STREAM, SOCK_DGRAM}) {
     const int fd = socket(AF_INET, type, 0);
     sockaddr_in address{};
     address.sin_family = AF_INET;
     address.sin_port = htons(port);
     address.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
-    const int failed =
+    const int error =
         bind(fd, reinterpret_cast<sockaddr*>(&address), sizeof(address));
     close(fd);
-    if (failed != 0) {
+    if (error != 0) {
       return false;
     }
   }
@@ -97,20 +97,21 @@
 }  // namespace
 
 std::uint16_t FreePort() {
-  constexpr int kTries = 100;
+  constexpr int kMaxAttempts = 100;
   static std::random_device random;
-  static std::set<std::uint16_t> given;
+  static std::set<std::uint16_t> allocated;
   std::uniform_int_distribution<int> ports(10'000, 32'000);
-  for (int i = 0; i < kTries; ++i) {
+  for (int i = 0; i < kMaxAttempts; ++i) {
     const auto port = static_cast<std::uint16_t>(ports(random));
-    if (Reserve(port) && IsFree(port) && given.insert(port).second) {
+    if (ReservePort(port) && IsPortFree(port) &&
+        allocated.insert(port).second) {
       return port;
     }
   }
   throw std::runtime_error("no free port");
 }
 
-std::string Binary(const std::string& name) {
+std::string BinaryPath(const std::string& name) {
   const char* folder = std::getenv("GENTIANROUTE_BIN");
   return std::string(folder == nullptr ? "build" : folder) + "/" + name;
 }
@@ -140,17 +141,17 @@
     arguments.push_back(const_cast<char*>(argument.c_str()));
   }
   arguments.push_back(nullptr);
-  const int failed = posix_spawn(&pid_, command.front().c_str(), &actions,
-                                 nullptr, arguments.data(), environ);
+  const int error = posix_spawn(&pid_, command.front().c_str(), &actions,
+                                nullptr, arguments.data(), environ);
   posix_spawn_file_actions_destroy(&actions);
   close(pipe_ends[1]);
-  if (failed != 0) {
+  if (error != 0) {
     throw std::runtime_error("can't start " + command.front());
   }
-  if (Running().empty()) {
-    std::atexit(&EndRunning);
+  if (RunningProcesses().empty()) {
+    std::atexit(&KillRunningProcesses);
   }
-  Running().insert(pid_);
+  RunningProcesses().insert(pid_);
 }
 
 Process::~Process() {
@@ -158,7 +159,7 @@
     kill(pid_, SIGKILL);
     waitpid(pid_, nullptr, 0);
   }
-  Running().erase(pid_);
+  RunningProcesses().erase(pid_);
   close(output_);
 }
 
@@ -172,7 +173,7 @@
     if (status_ < 0 && waitpid(pid_, &status, WNOHANG) == pid_) {
       status_ = WIFEXITED(status) ? WEXITSTATUS(status)
                                   : kSignalBase + WTERMSIG(status);
-      Running().erase(pid_);
+      RunningProcesses().erase(pid_);
     }
     return status_ >= 0;
   });
@@ -202,22 +203,22 @@
   return text;
 }
 
-void EndProcessesOnSignals() {
+void KillProcessesOnSignals() {
   for (const int number : {SIGTERM, SIGINT, SIGHUP, SIGSEGV, SIGABRT}) {
     std::signal(number, [](int received) {
-      EndRunning();
+      KillRunningProcesses();
       std::signal(received, SIG_DFL);
       std::raise(received);
     });
   }
 }
 
-Answer Http(std::uint16_t port,
-            const std::string& method,
-            const std::string& path,
-            const std::string& body,
-            const std::vector<std::string>& headers,
-            int seconds) {
+ClientResponse CallHttp(std::uint16_t port,
+                        const std::string& method,
+                        const std::string& path,
+                        const std::string& body,
+                        const std::vector<std::string>& headers,
+                        int seconds) {
   const int fd = ConnectTo(port, seconds);
   if (fd < 0) {
     return {};
@@ -238,16 +239,17 @@
     }
   }
   close(fd);
-  const std::size_t split = text.find("\r\n\r\n");
-  if (split == std::string::npos) {
+  const std::size_t head_end = text.find("\r\n\r\n");
+  if (head_end == std::string::npos) {
     return {};
   }
-  constexpr std::size_t kStatusAt = 9;
-  Answer answer;
-  answer.headers = text.substr(0, split);
-  answer.body = text.substr(split + 4);
-  answer.status = std::atoi(answer.headers.substr(kStatusAt, 3).c_str());
-  return answer;
+  constexpr std::size_t kStatusOffset = 9;
+  ClientResponse response;
+  response.headers = text.substr(0, head_end);
+  response.body = text.substr(head_end + 4);
+  response.status =
+      std::atoi(response.headers.substr(kStatusOffset, 3).c_str());
+  return response;
 }
 
 }  // namespace gentianroute::testing
--- a/tests/process/process.h
+++ b/tests/process/process.h
@@ -36,7 +36,7 @@
 std::uint16_t FreePort();
 
 /// @brief Path of a built program, like `apps/gentianctl`.
-std::string Binary(const std::string& name);
+std::string BinaryPath(const std::string& name);
 
 /// @brief One process that a test started; ended by its id at the latest when
 /// this is destroyed, or when the process of a failed test exits.
@@ -71,22 +71,22 @@
 ///
 /// Daemons that outlive a run that crashed go on asking for their store at a
 /// port that a server of the next run then has.
-void EndProcessesOnSignals();
+void KillProcessesOnSignals();
 
 /// @brief Answer of a blocking HTTP call.
-struct Answer {
+struct ClientResponse {
   int status = 0;  ///< 0: none
   std::string headers;
   std::string body;
 };
 
 /// @brief Calls over a new connection and reads to the end of the answer.
-Answer Http(std::uint16_t port,
-            const std::string& method,
-            const std::string& path,
-            const std::string& body,
-            const std::vector<std::string>& headers = {},
-            int seconds = 10);
+ClientResponse CallHttp(std::uint16_t port,
+                        const std::string& method,
+                        const std::string& path,
+                        const std::string& body,
+                        const std::vector<std::string>& headers = {},
+                        int seconds = 10);
 
 }  // namespace gentianroute::testing
 
--- a/tests/process/propagation_test.cc
+++ b/tests/process/propagation_test.cc
@@ -6,28 +6,29 @@
 #include <string>
 
 #include "harness.h"
-#include "pipelines.h"
+#include "pipeline_fixture.h"
 
 #include <criterion/criterion.h>
 
+using gentianroute::testing::CallHttp;
 using gentianroute::testing::Deployment;
 using gentianroute::testing::Eventually;
-using gentianroute::testing::Http;
-using gentianroute::testing::Pipelines;
+using gentianroute::testing::PipelineFixture;
 using nlohmann::json;
 
 namespace {
 
 constexpr std::size_t kDaemons = 4;
-constexpr int kBound = 20;  // seconds; generous, the usual time is printed
+constexpr int kTimeoutSeconds =
+    20;  // seconds; generous, the usual time is printed
 
 json StatusOf(const Deployment& deployment, std::size_t daemon) {
   return json::parse(
-      Http(deployment.operator_port(daemon), "GET", "/status", "").body,
+      CallHttp(deployment.operator_port(daemon), "GET", "/status", "").body,
       nullptr, false);
 }
 
-bool SeesLeaving(const Deployment& deployment, std::size_t daemon) {
+bool SeesLeavingServer(const Deployment& deployment, std::size_t daemon) {
   const json status = StatusOf(deployment, daemon);
   for (const json& server : status.at("servers")) {
     if (server.at("leaving")) {
@@ -38,19 +39,20 @@
 }
 
 /// Posts one after another, each with a marker of its own.
-std::uint64_t RunsAt(const Pipelines& pipelines,
-                     std::size_t daemon,
-                     std::size_t backend,
-                     const std::string& marker) {
-  constexpr int kPosts = 20;
-  for (int i = 0; i < kPosts; ++i) {
-    const auto answer = pipelines.Post(daemon, "chat", marker).get();
-    cr_assert_eq(answer.status, 200, "%s", answer.body.c_str());
+std::uint64_t PostAndCountRuns(const PipelineFixture& fixture,
+                               std::size_t daemon,
+                               std::size_t backend,
+                               const std::string& marker) {
+  constexpr int kRequests = 20;
+  for (int i = 0; i < kRequests; ++i) {
+    const auto response = fixture.Post(daemon, "chat", marker).get();
+    cr_assert_eq(response.status, 200, "%s", response.body.c_str());
   }
-  return pipelines.deployment.Runs(backend, marker);
+  return fixture.deployment.RunCount(backend, marker);
 }
 
-bool AllAreAfter(const Deployment& deployment, std::uint64_t revision) {
+bool AllHaveNewerRevision(const Deployment& deployment,
+                          std::uint64_t revision) {
   for (std::size_t i = 0; i < kDaemons; ++i) {
     if (StatusOf(deployment, i).at("revision") <= revision) {
       return false;
@@ -60,15 +62,17 @@
 }
 
 /// Applies a change at one daemon and waits until it is in force at all.
-void PrintTimeToBeInForce(Deployment& deployment) {
+void PrintPropagationTime(Deployment& deployment) {
   const std::uint64_t before = StatusOf(deployment, 0).at("revision");
   const auto start = std::chrono::steady_clock::now();
   deployment.Apply(R"({"pools": [{"name": "late"}]})");
-  cr_assert(
-      Eventually(kBound, [&] { return AllAreAfter(deployment, before); }));
-  const std::chrono::duration<double> took =
+  cr_assert(Eventually(kTimeoutSeconds, [&] {
+    return AllHaveNewerRevision(deployment, before);
+  }));
+  const std::chrono::duration<double> elapsed =
       std::chrono::steady_clock::now() - start;
-  std::printf("in force at %zu daemons after %.2f s\n", kDaemons, took.count());
+  std::printf("in force at %zu daemons after %.2f s\n", kDaemons,
+              elapsed.count());
 }
 
 }  // namespace
@@ -77,28 +81,29 @@
 // platform's list goes on naming it as live. The second daemon has never asked
 // it: it hears by gossip. Callers of both are answered by the other server.
 Test(propagation, leaving_server_that_the_list_names_live_gets_no_new_work) {
-  Pipelines pipelines(2, 2, 1);
-  Deployment& deployment = pipelines.deployment;
-  const std::size_t leaver = pipelines.encoders[0];
-  deployment.SetFaults(leaver, R"({"leaving": true})");
-  cr_assert(Eventually(kBound, [&] {
-    pipelines.Post(0, "chat", "probe").get();
-    return SeesLeaving(deployment, 0);
+  PipelineFixture fixture(2, 2, 1);
+  Deployment& deployment = fixture.deployment;
+  const std::size_t leaving_server = fixture.encoders[0];
+  deployment.SetFaults(leaving_server, R"({"leaving": true})");
+  cr_assert(Eventually(kTimeoutSeconds, [&] {
+    fixture.Post(0, "chat", "probe").get();
+    return SeesLeavingServer(deployment, 0);
   }));
-  cr_assert(Eventually(kBound, [&] { return SeesLeaving(deployment, 1); }));
+  cr_assert(Eventually(kTimeoutSeconds,
+                       [&] { return SeesLeavingServer(deployment, 1); }));
   // A new list arrives at both, and names it as live once more.
   const std::size_t listed = StatusOf(deployment, 0).at("servers").size();
   deployment.AddBackend("encoders");
   for (const std::size_t daemon : {0, 1}) {
-    cr_assert(Eventually(kBound, [&] {
+    cr_assert(Eventually(kTimeoutSeconds, [&] {
       return StatusOf(deployment, daemon).at("servers").size() > listed;
     }));
   }
   // From here on it would take work again, if anybody gave it some.
-  deployment.SetFaults(leaver, R"({"leaving": false})");
+  deployment.SetFaults(leaving_server, R"({"leaving": false})");
   for (const std::size_t daemon : {0, 1}) {
     const std::string marker = "after-" + std::to_string(daemon);
-    cr_expect_eq(RunsAt(pipelines, daemon, leaver, marker), 0);
+    cr_expect_eq(PostAndCountRuns(fixture, daemon, leaving_server, marker), 0);
   }
 }
 
@@ -106,30 +111,30 @@
 // half a minute, as most of 810 would. They hear of the new revision by gossip,
 // fetch it from that daemon, and have it in force long before they poll.
 Test(propagation, profile_reaches_daemons_that_do_not_poll) {
-  Pipelines pipelines(kDaemons, 1, 1, R"({"platform": {"pollMs": 30000}})");
-  PrintTimeToBeInForce(pipelines.deployment);
+  PipelineFixture fixture(kDaemons, 1, 1, R"({"platform": {"pollMs": 30000}})");
+  PrintPropagationTime(fixture.deployment);
 }
 
 // An operator applies a profile at one daemon; only that one is told by the
 // store's answer. All others put it in force within seconds. The platform then
 // goes out and comes back: nobody falls back to an earlier revision.
 Test(propagation, profile_is_in_force_everywhere_and_stays) {
-  Pipelines pipelines(kDaemons, 1, 1);
-  Deployment& deployment = pipelines.deployment;
+  PipelineFixture fixture(kDaemons, 1, 1);
+  Deployment& deployment = fixture.deployment;
   const std::uint64_t before = StatusOf(deployment, 0).at("revision");
-  PrintTimeToBeInForce(deployment);
+  PrintPropagationTime(deployment);
   deployment.SetPlatformFaults(R"({"silent": true})");
   constexpr int kChecks = 5;
-  constexpr useconds_t kBetweenChecks = 300'000;  // a few polls
+  constexpr useconds_t kCheckIntervalMicros = 300'000;  // a few polls
   for (int i = 0; i < kChecks; ++i) {
-    usleep(kBetweenChecks);
-    cr_expect(AllAreAfter(deployment, before));
-    cr_expect_eq(pipelines.Post(0, "chat", "out").get().status, 200);
+    usleep(kCheckIntervalMicros);
+    cr_expect(AllHaveNewerRevision(deployment, before));
+    cr_expect_eq(fixture.Post(0, "chat", "out").get().status, 200);
   }
   deployment.SetPlatformFaults(R"({"silent": false})");
   for (int i = 0; i < kChecks; ++i) {
-    usleep(kBetweenChecks);
-    cr_expect(AllAreAfter(deployment, before));
-    cr_expect_eq(pipelines.Post(1, "chat", "back").get().status, 200);
+    usleep(kCheckIntervalMicros);
+    cr_expect(AllHaveNewerRevision(deployment, before));
+    cr_expect_eq(fixture.Post(1, "chat", "back").get().status, 200);
   }
 }
--- a/tests/process/silent_links_test.cc
+++ b/tests/process/silent_links_test.cc
@@ -6,7 +6,7 @@
 #include <string>
 
 #include "harness.h"
-#include "pipelines.h"
+#include "pipeline_fixture.h"
 
 #include <criterion/criterion.h>
 
@@ -14,12 +14,13 @@
 
 namespace {
 
-constexpr const char* kSilence = R"({"silence_open": true})";
+constexpr const char* kSilenceOpenConnections = R"({"silence_open": true})";
 
-std::uint64_t Revision(const Pipelines& run, std::size_t daemon) {
-  const Answer answer =
-      Http(run.deployment.operator_port(daemon), "GET", "/status", "");
-  const auto status = nlohmann::json::parse(answer.body, nullptr, false);
+std::uint64_t AppliedRevision(const PipelineFixture& fixture,
+                              std::size_t daemon) {
+  const ClientResponse response =
+      CallHttp(fixture.deployment.operator_port(daemon), "GET", "/status", "");
+  const auto status = nlohmann::json::parse(response.body, nullptr, false);
   return status.is_object() ? status.value("revision", 0U) : 0;
 }
 
@@ -33,47 +34,52 @@
 // which is true. Once the first goes on, its caller gets the order's answer,
 // and a resend gets the same one.
 Test(silent_links, peer_frozen_while_asked_for_outcome_answer_is_true) {
-  Pipelines run(2, 1, 0);
-  run.deployment.SetFaults(run.orders, R"({"delay_ms": 2500})");
-  std::future<Answer> first = run.Post(0, "ordering", "plaque", "key-1");
-  cr_assert(Eventually(
-      10, [&] { return run.deployment.Runs(run.orders, "plaque") == 1; }));
-  std::future<Answer> resend = run.Post(1, "ordering", "plaque", "key-1");
+  PipelineFixture fixture(2, 1, 0);
+  fixture.deployment.SetFaults(fixture.orders, R"({"delay_ms": 2500})");
+  std::future<ClientResponse> first =
+      fixture.Post(0, "ordering", "plaque", "key-1");
+  cr_assert(Eventually(10, [&] {
+    return fixture.deployment.RunCount(fixture.orders, "plaque") == 1;
+  }));
+  std::future<ClientResponse> resend =
+      fixture.Post(1, "ordering", "plaque", "key-1");
   cr_assert_eq(resend.wait_for(std::chrono::milliseconds(500)),
                std::future_status::timeout);
-  run.deployment.daemon(0).Signal(SIGSTOP);
+  fixture.deployment.daemon(0).Signal(SIGSTOP);
   // Http gives up only long after the profile's deadline.
-  const Answer second = resend.get();
+  const ClientResponse second = resend.get();
   cr_assert(IsProblem(second, "outcome_unknown"), "%s", second.body.c_str());
-  run.deployment.daemon(0).Signal(SIGCONT);
+  fixture.deployment.daemon(0).Signal(SIGCONT);
   cr_assert_neq(first.get().status, 0);
-  cr_assert_eq(run.deployment.Runs(run.orders, "plaque"), 1);
+  cr_assert_eq(fixture.deployment.RunCount(fixture.orders, "plaque"), 1);
 }
 
 // What callers and operators see: after the platform's open connections went
 // silent, new claims and new revisions go through again without anyone's help.
 // The daemon's calls on the dead connections time out; it opens new ones.
 Test(silent_links, platform_connections_silent_claims_and_revisions_go_on) {
-  Pipelines run(2, 1, 0);
+  PipelineFixture fixture(2, 1, 0);
   for (int round = 0; round < 3; ++round) {
     const std::string name = "plaque-" + std::to_string(round);
-    const std::uint64_t before = Revision(run, 1);
-    run.deployment.SetPlatformFaults(kSilence);
+    const std::uint64_t before = AppliedRevision(fixture, 1);
+    fixture.deployment.SetPlatformFaults(kSilenceOpenConnections);
     cr_assert(Eventually(15, [&] {
-      const Answer order = run.Post(0, "ordering", name, name).get();
+      const ClientResponse order =
+          fixture.Post(0, "ordering", name, name).get();
       cr_assert(order.status == 200 || IsProblem(order, "store_unavailable") ||
                     IsProblem(order, "outcome_unknown"),
                 "%s", order.body.c_str());
       return order.status == 200;
     }));
-    cr_assert_eq(run.deployment.Runs(run.orders, name), 1);
-    run.deployment.SetPlatformFaults(kSilence);
+    cr_assert_eq(fixture.deployment.RunCount(fixture.orders, name), 1);
+    fixture.deployment.SetPlatformFaults(kSilenceOpenConnections);
     const std::string pool = "spare-" + std::to_string(round);
     const std::string declared = R"({"pools": [{"name": ")" + pool + R"("}]})";
     cr_assert(Eventually(15, [&] {
-      const int code = run.deployment.TryApply(declared);
+      const int code = fixture.deployment.TryApply(declared);
       return code == 0;
     }));
-    cr_assert(Eventually(15, [&] { return Revision(run, 1) > before; }));
+    cr_assert(
+        Eventually(15, [&] { return AppliedRevision(fixture, 1) > before; }));
   }
 }
--- a/tests/process/store_outage_test.cc
+++ b/tests/process/store_outage_test.cc
@@ -6,25 +6,27 @@
 
 #include <criterion/criterion.h>
 
+using gentianroute::testing::CallHttp;
 using gentianroute::testing::Deployment;
 using gentianroute::testing::Eventually;
-using gentianroute::testing::Http;
 
 namespace {
 
 constexpr const char* kDeclarations = R"({"pools": [{"name": "encoders"}]})";
 
 void SetSilent(const Deployment& deployment, bool silent) {
-  Http(deployment.platform_port(), "PUT", "/control/faults",
-       silent ? R"({"silent": true})" : R"({"silent": false})");
+  CallHttp(deployment.platform_port(), "PUT", "/control/faults",
+           silent ? R"({"silent": true})" : R"({"silent": false})");
 }
 
-int Readiness(const Deployment& deployment, std::size_t daemon) {
-  return Http(deployment.operator_port(daemon), "GET", "/readyz", "").status;
+int ReadinessStatus(const Deployment& deployment, std::size_t daemon) {
+  return CallHttp(deployment.operator_port(daemon), "GET", "/readyz", "")
+      .status;
 }
 
-bool BecomesReady(const Deployment& deployment, std::size_t daemon) {
-  return Eventually(10, [&] { return Readiness(deployment, daemon) == 200; });
+bool WaitUntilReady(const Deployment& deployment, std::size_t daemon) {
+  return Eventually(10,
+                    [&] { return ReadinessStatus(deployment, daemon) == 200; });
 }
 
 }  // namespace
@@ -39,14 +41,14 @@
   SetSilent(deployment, true);
   deployment.AddDaemon();
   usleep(2'000'000);
-  cr_assert_eq(Readiness(deployment, 0), 503);
+  cr_assert_eq(ReadinessStatus(deployment, 0), 503);
   SetSilent(deployment, false);
-  cr_assert(BecomesReady(deployment, 0));
+  cr_assert(WaitUntilReady(deployment, 0));
   deployment.Apply(kDeclarations);
   SetSilent(deployment, true);
   deployment.AddDaemon();
-  cr_assert(BecomesReady(deployment, 1));
+  cr_assert(WaitUntilReady(deployment, 1));
   const auto documents =
-      Http(deployment.operator_port(1), "GET", "/v1/documents", "");
+      CallHttp(deployment.operator_port(1), "GET", "/v1/documents", "");
   cr_assert(documents.body.find("encoders") != std::string::npos);
 }
--- a/tests/process/whole_path_test.cc
+++ b/tests/process/whole_path_test.cc
@@ -7,7 +7,7 @@
 
 #include <criterion/criterion.h>
 
-using gentianroute::testing::Answer;
+using gentianroute::testing::ClientResponse;
 using gentianroute::testing::Deployment;
 
 namespace {
@@ -45,11 +45,11 @@
 
 Test(whole_path, request_through_two_stages_gets_whole_answer_and_cost) {
   for (const std::size_t daemon : {0U, 1U}) {
-    const Answer answer =
+    const ClientResponse response =
         deployment->Post(daemon, "drafting", R"({"prompt": "hello"})");
-    cr_assert_eq(answer.status, 200);
-    cr_assert_eq(answer.body, "\"w0 w1 w2 w3 \"");
-    cr_assert(answer.headers.find("x-cost-micros: 13") != std::string::npos);
+    cr_assert_eq(response.status, 200);
+    cr_assert_eq(response.body, "\"w0 w1 w2 w3 \"");
+    cr_assert(response.headers.find("x-cost-micros: 13") != std::string::npos);
   }
 }
 
--- a/tests/soak/main.cc
+++ b/tests/soak/main.cc
@@ -50,7 +50,7 @@
   app.add_option("--folder", options.folder, "directory for settings and logs");
   app.add_flag("--faults", with_faults, "print the faults of each run");
   CLI11_PARSE(app, argc, argv);
-  gentianroute::testing::EndProcessesOnSignals();
+  gentianroute::testing::KillProcessesOnSignals();
   options.length = std::chrono::seconds(seconds);
   std::size_t failed = 0;
   for (std::uint64_t seed = first; seed < first + seeds; ++seed) {
--- a/tests/soak/soak_daemon.cc
+++ b/tests/soak/soak_daemon.cc
@@ -58,7 +58,7 @@
   WriteSettings(name + ".conf");
   setenv("GENTIANROUTE_SETTINGS", (name + ".conf").c_str(), 1);
   process_ = std::make_unique<testing::Process>(
-      std::vector<std::string>{testing::Binary("apps/gentianroute"),
+      std::vector<std::string>{testing::BinaryPath("apps/gentianroute"),
                                "--platform", "--metrics-port",
                                std::to_string(metrics_port_)},
       name + ".errors", name + ".log");
