--- a/tests/process/backend_failure_test.cc
+++ b/tests/process/backend_failure_test.cc
@@ -14,7 +14,7 @@
 
 namespace {
 
-/// All tokens of one engine's answer, each once and in order.
+/// All tokens of an engine's response, each once and in order.
 std::string CompleteDraft() {
   constexpr int kTokens = 100;
   std::string text = "\"";
@@ -45,24 +45,24 @@
 
 TestSuite(backend_failure);
 
-// What the caller sees: its draft, whole, a little late. The engine is killed
-// in the middle of the stream; another one takes over at the offset that the
-// daemon holds, so that no token is lost or doubled.
+// The engine is killed in the middle of a stream. Another one continues at the
+// offset that the daemon has recorded, so that the caller gets the complete
+// draft with no token lost or duplicated.
 Test(backend_failure, engine_killed_in_mid_stream_answer_is_whole) {
   PipelineFixture fixture(1, 1, 2);
   std::future<ClientResponse> draft = fixture.Post(0, "drafting", "letter");
   const std::size_t engine = FindEngine(fixture, "letter");
-  usleep(200'000);  // some of the 100 tokens have gone by now
+  usleep(200'000);  // part of the 100 tokens has been sent by now
   fixture.deployment.backend(engine).Signal(SIGKILL);
   const ClientResponse response = draft.get();
   cr_assert_eq(response.status, 200, "%s", response.body.c_str());
   cr_assert_eq(response.body, CompleteDraft());
 }
 
-// What the caller sees: its draft, whole. The engine is frozen in the middle of
-// the stream, so the connection stands and says nothing; the silence ends the
-// call, and another engine goes on. Once resumed, the first one finds its
-// connection closed, and what it still sends reaches nobody.
+// The engine is stopped with SIGSTOP in the middle of a stream, so that its
+// connection stays open but idle. The call times out and another engine
+// continues; the caller gets the complete draft. After SIGCONT the connection
+// of the first engine is closed, and its remaining tokens reach no caller.
 Test(backend_failure, engine_frozen_in_mid_stream_answer_is_whole) {
   PipelineFixture fixture(1, 1, 2);
   std::future<ClientResponse> draft = fixture.Post(0, "drafting", "letter");
@@ -76,8 +76,8 @@
   cr_assert_eq(fixture.Post(0, "drafting", "next").get().body, CompleteDraft());
 }
 
-// What the caller sees: every draft whole, whatever the first engine does to
-// its stream: tokens twice, tokens left out, a cut, another attempt's id.
+// The first engine duplicates tokens, skips tokens, truncates its stream or
+// sends the id of another attempt; the caller gets a complete draft each time.
 Test(backend_failure, engine_with_broken_streams_answers_are_whole) {
   PipelineFixture fixture(1, 1, 2);
   for (const char* fault :
@@ -96,9 +96,10 @@
   }
 }
 
-// What the caller sees: the draft whole, from the second engine, when the first
-// sends null where the text of a token should be; with that engine alone, a
-// problem. The field of another type is a gap in the stream and no more.
+// An engine sends null instead of the text of a token. The daemon must treat
+// the field of the wrong type as a gap in the stream: the caller gets the
+// complete draft from the second engine, or some response if both engines do
+// so, and the daemon keeps serving.
 Test(backend_failure, engine_with_null_tokens_daemon_lives_and_answers) {
   PipelineFixture fixture(1, 1, 2);
   fixture.deployment.SetFaults(fixture.engines[0], R"({"null_tokens": true})");
@@ -111,10 +112,10 @@
   cr_assert_eq(fixture.Post(0, "chat", "letter").get().status, 200);
 }
 
-// What the caller sees: answers, after one short delay. The connections to the
-// only server that are open now go silent for good, while new ones work. The
-// first timeout condemns the idle ones, so that the next requests do not each
-// wait for a silent connection of their own.
+// All open connections to the only server stop carrying data, while new ones
+// work. The first timeout makes the daemon drop its idle connections too, so
+// that later requests do not each time out on a dead one; callers get responses
+// after one short delay.
 Test(backend_failure, open_connections_silent_requests_go_over_new_ones) {
   PipelineFixture fixture(1, 1, 0);
   std::vector<std::future<ClientResponse>> warm;
@@ -134,10 +135,9 @@
   cr_assert_eq(fixture.deployment.RunCount(fixture.encoders[0], "after"), 10);
 }
 
-// What the caller sees: its order goes through at the first try, though every
-// open connection to the order server has gone silent. An order must not be
-// sent twice, so a silent connection would leave its outcome unknown; it goes
-// over a connection of its own.
+// All open connections to the order server stop carrying data. An order must
+// not be sent twice, so that a dead connection would leave its outcome unknown;
+// it uses a new connection, and the first attempt succeeds.
 Test(backend_failure, open_connections_silent_order_goes_over_fresh_one) {
   PipelineFixture fixture(1, 1, 0);
   cr_assert_eq(fixture.Post(0, "ordering", "first").get().status, 200);
@@ -147,9 +147,9 @@
   cr_assert_eq(fixture.deployment.RunCount(fixture.orders, "second"), 1);
 }
 
-// What the caller sees: outcome_unknown, once the order server has taken the
-// order and its connection broke without an answer. The effect took place; a
-// second call would make a second plaque.
+// The connection breaks after the order server has received the order and
+// before a complete response. The effect has taken place and a second call
+// would repeat it, so that the caller must get outcome_unknown.
 Test(backend_failure, order_with_lost_answer_is_not_sent_again) {
   PipelineFixture fixture(1, 1, 0);
   fixture.deployment.SetFaults(fixture.orders, R"({"reset_answers": true})");
@@ -165,9 +165,8 @@
   cr_assert_eq(fixture.deployment.RunCount(fixture.orders, "cut"), 1);
 }
 
-// What the caller sees: its own answer, from the other server, whatever the
-// first one sends: another attempt's answer, half of one, one that comes after
-// its time, or an error.
+// The first server sends the response of another attempt, a truncated one, a
+// late one or an error; the caller gets the response of the other server.
 Test(backend_failure, server_with_wrong_answers_caller_gets_its_own) {
   PipelineFixture fixture(1, 2, 0);
   for (const char* fault :
@@ -185,9 +184,9 @@
   }
 }
 
-// What the callers see: each order answered, or refused as not run, and the
-// word is true: the server, which takes two at a time and refuses the others
-// before it runs them, ran each answered one once and each refused one never.
+// The order server accepts two requests at a time and refuses the others before
+// running them. Each order must be answered or reported as not run: the server
+// has run each answered one once and each refused one never.
 Test(backend_failure, server_refuses_orders_not_run_is_true) {
   PipelineFixture fixture(1, 1, 0);
   fixture.deployment.SetFaults(fixture.orders,
--- a/tests/process/callers_test.cc
+++ b/tests/process/callers_test.cc
@@ -16,7 +16,7 @@
 
 namespace {
 
-/// Makes a certificate for this test alone, as a person would.
+/// Creates a self-signed certificate for this test with the openssl program.
 bool MakeCertificate(const Deployment& deployment) {
   Process openssl(
       {"/usr/bin/openssl", "req", "-x509", "-newkey", "rsa:2048", "-nodes",
@@ -26,8 +26,9 @@
   return openssl.Wait(30) == 0;
 }
 
-/// Offers these protocols over TLS.
-/// @return the one that the daemon chose; empty: no connection
+/// Offers these protocols by ALPN in a TLS handshake.
+/// @return the one that the daemon selected; empty if it selected none or the
+/// handshake failed
 std::string NegotiateProtocol(std::uint16_t port, const std::string& offered) {
   const std::unique_ptr<SSL_CTX, decltype(&SSL_CTX_free)> context(
       SSL_CTX_new(TLS_client_method()), &SSL_CTX_free);
@@ -72,8 +73,8 @@
   cr_assert_eq(NegotiateProtocol(port, "\x08http/1.1"), "http/1.1");
 }
 
-// What the caller sees: each request that can't be taken gets a clear answer,
-// and the daemon goes on serving.
+// Each invalid request gets a problem document of the right kind, or at least
+// the right status, and the daemon keeps serving.
 Test(callers, requests_that_cannot_be_taken_get_a_clear_problem) {
   PipelineFixture fixture(1, 1, 0, R"({"limits": {"maxBodyBytes": 2048}})");
   const auto post = [&fixture](const std::string& service,
@@ -105,13 +106,13 @@
                     "POST /v1/services/chat HTTP/1.1\r\nhost: t\r\n"
                     "content-length: abc\r\n\r\n")
                 .starts_with("http/1.1 400"));
-  // The longest time that a number holds must not overflow into the past.
+  // The largest 64-bit timeout must not overflow into a deadline in the past.
   cr_assert_eq(
       post("%63hat", "{}", {"x-timeout-ms: 9223372036854775807"}).status, 200);
 }
 
-// What the caller sees: too_many_connections and not a reset, when the daemon
-// has as many connections as it takes; those that are open go on.
+// With the maximum number of connections open, a new one gets
+// too_many_connections instead of a reset, and the open ones are still served.
 Test(callers, one_connection_too_many_is_told_and_others_go_on) {
   PipelineFixture fixture(1, 1, 0, R"({"limits": {"maxConnections": 2}})");
   const Connection first(fixture.deployment.caller_port(0));
@@ -127,7 +128,7 @@
   cr_assert(first.ReadResponse().starts_with("http/1.1 200"));
 }
 
-// What the operator sees: one line for each request, and never a bearer key.
+// The log has one line for each request and never contains a bearer key.
 Test(callers, log_has_one_line_per_request_and_no_key) {
   PipelineFixture fixture(1, 1, 0);
   cr_assert_eq(fixture.Post(0, "chat", "letter").get().status, 200);
@@ -142,8 +143,8 @@
   cr_assert(log.find("test-key") == std::string::npos);
 }
 
-// What other callers see: nothing. One caller sends half a request and stops;
-// the daemon closes that connection after ten seconds.
+// A caller sends half a request and then nothing; the daemon closes that
+// connection after ten seconds, and other callers are not affected.
 Test(callers, half_a_request_is_closed_and_others_are_served) {
   PipelineFixture fixture(1, 1, 0);
   const Connection incomplete(fixture.deployment.caller_port(0));
--- a/tests/process/claim_failure_test.cc
+++ b/tests/process/claim_failure_test.cc
@@ -23,10 +23,10 @@
 
 TestSuite(claim_failure);
 
-// What the caller sees: no answer from the first daemon, which is killed while
-// its order runs; then outcome_unknown from the second, to which it sends the
-// same order again. The claim's row has no outcome, and the daemon that could
-// tell is gone, so the second one can't know, and must not run it.
+// A daemon is killed while its order runs, and the caller sends the same order
+// to a second daemon. The row of the claim has no outcome, and the daemon that
+// knows it is gone, so that the second one must not run the order and must
+// answer outcome_unknown.
 Test(claim_failure, daemon_killed_before_outcome_resend_is_outcome_unknown) {
   PipelineFixture fixture(2, 1, 0);
   fixture.deployment.SetFaults(fixture.orders, R"({"delay_ms": 1000})");
@@ -41,9 +41,9 @@
   cr_assert_eq(fixture.deployment.RunCount(fixture.orders, "plaque"), 1);
 }
 
-// What the callers see: the same answer twice, and one plaque. The same key
-// arrives at two daemons at once; the store lets one claim it, and the other
-// asks that one for the outcome.
+// The same key arrives at two daemons at the same time. The store lets one of
+// them claim it, and the other one asks that daemon for the outcome: the order
+// runs once and both callers get the same response.
 Test(claim_failure, same_key_at_two_daemons_runs_once_both_get_the_answer) {
   PipelineFixture fixture(2, 1, 0);
   fixture.deployment.SetFaults(fixture.orders, R"({"delay_ms": 300})");
@@ -60,9 +60,9 @@
   }
 }
 
-// What the callers see while the platform is down: an order with a key is
-// refused as not run, with Retry-After; questions are answered as ever. The
-// platform comes back, and the same key goes through.
+// While the platform is unavailable, an order with a key is refused as not run,
+// with Retry-After, and requests without a key are served. When the platform is
+// available again, an order with the same key succeeds.
 Test(claim_failure, platform_down_keyed_refused_unkeyed_go_on) {
   PipelineFixture fixture(1, 1, 0);
   for (const char* fault :
@@ -86,9 +86,10 @@
   cr_assert_eq(fixture.deployment.RunCount(fixture.orders, "plaque"), 1);
 }
 
-// What the caller sees: outcome_unknown from the second daemon, to which it
-// sends its order again while the first is frozen in the middle of it; then,
-// once the first is resumed and has written the outcome, the stored answer.
+// A daemon is stopped with SIGSTOP while its order runs; the same order sent to
+// a second daemon gets outcome_unknown. After SIGCONT the first daemon may
+// record the outcome, so that a later attempt gets the stored response or
+// outcome_unknown. The order runs once.
 Test(claim_failure, daemon_frozen_during_order_and_resumed_order_runs_once) {
   PipelineFixture fixture(2, 1, 0);
   fixture.deployment.SetFaults(fixture.orders, R"({"delay_ms": 200})");
--- a/tests/process/connection.h
+++ b/tests/process/connection.h
@@ -10,13 +10,13 @@
 
 namespace gentianroute::testing {
 
-/// @brief Reads what has come, and goes on when a signal interrupts it: with a
-/// time limit set, recv() is never restarted and says EINTR, which would pass
-/// for the end of the answer.
-/// @return bytes read; 0 at the end; below 0 on an error
+/// @brief Calls recv() and retries on EINTR. With SO_RCVTIMEO set, recv() is
+/// not restarted after a signal, and EINTR would be taken for the end of the
+/// response.
+/// @return bytes read; 0 at the end of the stream; negative on an error
 ssize_t Receive(int fd, void* buffer, std::size_t size);
 
-/// @brief A connection that a test holds open, to send what it likes.
+/// @brief A TCP connection on which a test sends arbitrary bytes.
 class Connection {
  public:
   explicit Connection(std::uint16_t port);
@@ -26,16 +26,18 @@
 
   bool connected() const { return fd_ >= 0; }
   void Send(std::string_view text) const;
-  /// @brief Posts to a service as the test's subscriber, kept alive.
+  /// @brief Posts to a service with the API key of the tests; the connection
+  /// stays open.
   void Post(const std::string& service,
             const std::string& body,
             const std::string& headers = "") const;
-  /// @brief Reads until `mark` came, or the end.
+  /// @brief Reads until the data ends with `mark`, or to the end of the stream.
   /// @return all that was read
   std::string ReadUntil(std::string_view mark) const;
-  /// @brief Reads what comes, until none came for that long.
+  /// @brief Discards data until none arrives for that long.
   void ReadUntilIdle(int milliseconds) const;
-  /// @brief Reads one answer that states its length.
+  /// @brief Reads one response with a content-length.
+  /// @return its head in lower case, followed by its body
   std::string ReadResponse() const;
 
  private:
--- a/tests/process/crashing_request_test.cc
+++ b/tests/process/crashing_request_test.cc
@@ -12,9 +12,9 @@
 
 TestSuite(crashing_request);
 
-// What the callers see: the one whose request crashes each server that runs it
-// is refused as quarantined; all others, whose work was on the same servers,
-// are answered. The servers come back as new processes.
+// One request crashes each server that runs it, and the servers restart as new
+// processes. That request must be refused as quarantined, and all other
+// requests that ran on the same servers must be answered.
 Test(crashing_request, is_quarantined_and_neighbours_are_answered) {
   PipelineFixture fixture(1, 3, 0);
   for (const std::size_t encoder : fixture.encoders) {
@@ -37,7 +37,7 @@
         fixture.deployment.SetFaults(encoder, R"({"crash_marker": "poison"})");
       }
     }
-    usleep(400'000);  // the daemon reads the host list
+    usleep(400'000);  // until the daemon has read the host list
   }
   cr_assert(quarantined);
   for (std::future<ClientResponse>& other : others) {
--- a/tests/process/drain_test.cc
+++ b/tests/process/drain_test.cc
@@ -15,18 +15,18 @@
 
 TestSuite(drain);
 
-// What the caller sees: all its requests answered, though its daemon is being
-// stopped. Streams, keyed orders and requests that wait for a slot are in
-// flight; SIGTERM comes, and a second one; readyz turns 503 at once, while
-// newcomers are served until the balancer has noticed. The store is down just
-// then, so the outcomes of the orders wait to be written.
+// A daemon gets SIGTERM twice while streams, keyed orders and requests that
+// wait for a slot are in flight, and while the store returns errors, so that
+// the outcomes of the orders can't be written yet. /readyz returns 503 at once,
+// new requests are served during the drain notice, every request is answered,
+// and the outcomes are written before the daemon exits.
 Test(drain, stop_under_load_answers_all_and_exits_zero) {
   PipelineFixture fixture(2, 1, 1, R"({"limits": {"drainNoticeMs": 600}})");
   fixture.deployment.SetFaults(fixture.encoders[0], R"({"delay_ms": 300})");
   fixture.deployment.SetFaults(fixture.orders, R"({"delay_ms": 3000})");
   std::vector<std::future<ClientResponse>> responses;
   responses.reserve(33);
-  for (int i = 0; i < 24; ++i) {  // 8 slots: two thirds wait
+  for (int i = 0; i < 24; ++i) {  // there are 8 slots, so two thirds wait
     responses.push_back(fixture.Post(0, "chat", "chat"));
   }
   for (int i = 0; i < 4; ++i) {
@@ -50,10 +50,11 @@
     cr_assert_eq(got.status, 200, "status %d: %s", got.status,
                  got.body.c_str());
   }
-  usleep(300'000);  // a daemon that did not wait would be gone by now
+  usleep(300'000);  // a daemon that does not wait has exited by now
   fixture.deployment.SetPlatformFaults(R"({"error_status": 0})");
   cr_assert_eq(fixture.deployment.daemon(0).Wait(20), 0);
-  // The outcomes were written before the daemon ended: another one knows them.
+  // The outcomes were written before the daemon exited, so another one has
+  // them.
   for (int i = 0; i < 4; ++i) {
     const ClientResponse again =
         fixture.Post(1, "ordering", "order", "key-" + std::to_string(i)).get();
@@ -63,10 +64,9 @@
   cr_assert_eq(fixture.deployment.RunCount(fixture.orders, "order"), 4);
 }
 
-// What the caller sees: a request on its open connection is answered, though
-// the daemon takes no new connections any more. The connection was idle when
-// accepting stopped, so the client could not know; the answer tells it to
-// close, and the daemon waits for that before it ends.
+// A request on a connection that was idle when the daemon stopped accepting is
+// still served, since its client could not know of the stop. The response has
+// "connection: close", and the daemon waits for it before it exits.
 Test(drain, request_on_open_connection_after_accepting_stopped_is_served) {
   PipelineFixture fixture(1, 1, 0, R"({"limits": {"drainNoticeMs": 50}})");
   const Connection connection(fixture.deployment.caller_port(0));
@@ -76,7 +76,7 @@
   cr_assert(Eventually(5, [&] {
     return !Connection(fixture.deployment.caller_port(0)).connected();
   }));
-  usleep(300'000);  // a daemon that did not wait would be gone by now
+  usleep(300'000);  // a daemon that does not wait has exited by now
   connection.Post("chat", "{}");
   const std::string response = connection.ReadResponse();
   cr_assert(response.starts_with("http/1.1 200"), "%s", response.c_str());
@@ -84,8 +84,8 @@
   cr_assert_eq(fixture.deployment.daemon(0).Wait(20), 0);
 }
 
-// What the operator sees: a daemon whose work does not end is stopped by the
-// drain deadline alone, which says in the log how much it cut off.
+// Requests that do not end are cut off only by the drain deadline; the log then
+// has the number of requests that were cut off.
 Test(drain, deadline_is_the_only_cut_off_and_is_logged) {
   PipelineFixture fixture(
       1, 1, 0, R"({"limits": {"drainNoticeMs": 50, "drainDeadlineMs": 1500}})");
--- a/tests/process/engine_orders_test.cc
+++ b/tests/process/engine_orders_test.cc
@@ -38,10 +38,10 @@
 
 }  // namespace
 
-// Two daemons, of which one holds the pool's lease; one dies without a word,
-// and an engine runs the wrong model afterwards. Whoever is left must hold the
-// lease in the end, find the difference by reading back, and repair it; its
-// planned stop then gives the lease back and ends with 0.
+// One of two daemons is killed, and an engine then gets a wrong model. The
+// other daemon must acquire the lease of the pool, detect the wrong model by
+// reading the state of the engine, and correct it; it must then exit with 0
+// when it is stopped.
 Test(engine_orders, survivor_repairs_an_engine_after_a_daemon_died) {
   Deployment deployment;
   deployment.AddBackend("llm", {"--checks-fencing"});
--- a/tests/process/frozen_platform_test.cc
+++ b/tests/process/frozen_platform_test.cc
@@ -9,10 +9,11 @@
 
 TestSuite(frozen_platform);
 
-// What the caller sees: the order is refused as not run while the platform is
-// frozen, and goes through once it is resumed. The frozen platform takes the
-// claim's write only later, when the daemon has given its token up; a row that
-// appears then must never be dispatched, nor block the key for good.
+// The platform is stopped with SIGSTOP, so that an order with a key is refused
+// as not run. After SIGCONT the platform still executes the write of the claim,
+// whose token the daemon has given up by then; that row must never lead to a
+// dispatch or block the key permanently, and the order succeeds when it is sent
+// again.
 Test(frozen_platform,
      resumed_after_claim_was_given_up_order_runs_at_most_once) {
   PipelineFixture fixture(1, 1, 0);
--- a/tests/process/gentianctl_test.cc
+++ b/tests/process/gentianctl_test.cc
@@ -45,7 +45,7 @@
   deployment->AddDaemon("dc-1", "region-1");
   deployment->AddDaemon("dc-2", "region-2");
   deployment->AddDaemon("dc-3", "region-3");
-  // The host list lags: the first daemon started before the others were in it.
+  // The first daemon started before the others were in the host list.
   cr_assert(Eventually(10, [] { return PeerCount(0) == 2; }));
 }
 
@@ -66,14 +66,14 @@
   return text.str();
 }
 
-/// What one result of gentianctl came to.
+/// Result of a finished gentianctl process.
 struct CtlResult {
   int code = -1;
   std::string errors;
   json output;  ///< with --output json
 };
 
-/// A result of gentianctl that goes on.
+/// A gentianctl process that may still be running.
 struct RunningCtl {
   std::string errors;
   std::unique_ptr<Process> process;
@@ -109,7 +109,8 @@
       .at("revision");
 }
 
-/// Two files applied: revision 1.
+/// Applies two files as revision 1, or as no change if they are already
+/// applied.
 void ApplyInitial() {
   const CtlResult result =
       RunCtl({"apply", WriteFile("first.json", kInitialDeclarations),
@@ -147,9 +148,9 @@
   }
 }
 
-// The operator applies and waits while one daemon is paused: it listens but
-// answers nobody. It was heard from a moment ago, so it counts as reachable,
-// and the wait must not report success for it.
+// An operator applies a change with --wait while one daemon is stopped with
+// SIGSTOP. That daemon was reachable a moment ago, so that it still counts as
+// reachable, and the wait must not report success.
 Test(gentianctl, apply_with_wait_tells_that_a_daemon_lags) {
   ApplyInitial();
   deployment->daemon(2).Signal(SIGSTOP);
@@ -197,9 +198,10 @@
   cr_assert_eq(RunCtl({"get", "profile/drafts"}).code, 1);
 }
 
-// Two operators start from revision 1. The first one's change is in force when
-// the second one applies his: he must see both sides and who was first, and
-// nothing of the first one's change may be lost.
+// Two operators base their changes on revision 1, and the first change is
+// already applied when the second one is sent. The second operator must get a
+// conflict with both versions and the author of the first, whose change must
+// stay.
 Test(gentianctl, second_of_two_racing_operators_sees_both_sides) {
   ApplyInitial();
   cr_assert_eq(
@@ -219,9 +221,9 @@
   cr_assert_eq(AppliedRevision(), 2);
 }
 
-// The platform takes the change but its answers are lost, so the operator does
-// not know whether it stands. A second try with the same id must find it and
-// make no second revision.
+// The platform stores a change but its responses are lost, so that the operator
+// does not know the outcome. A retry with the same change id must find the
+// change and create no second revision.
 Test(gentianctl, lost_answer_is_settled_by_the_change_id) {
   ApplyInitial();
   const std::string file = WriteFile("a.json", DeclarationsWithDeadline(4000));
@@ -277,8 +279,9 @@
   cr_assert_eq(RunCtl({"get", "drafts"}).code, 2);
 }
 
-// Someone posts to the daemon without gentianctl. A body that no daemon can
-// read would take its service away everywhere.
+// A change is posted to the daemon without gentianctl. If an invalid document
+// were stored, no daemon could read it and its service would be lost
+// everywhere.
 Test(gentianctl, daemon_refuses_a_change_that_its_schema_refuses) {
   const json change = {{"change_id", "x"},
                        {"author", "x"},
@@ -301,8 +304,9 @@
   cr_assert_eq(RunCtl({"status"}, 1).code, 4);
 }
 
-// One of two services answers, the other one has no server. Both daemons count;
-// the report must add them up, and the page must stand on its own.
+// One of two services has no server, and both daemons count requests. The
+// report must add up their counts, and the HTML page must load nothing from
+// elsewhere.
 Test(gentianctl, report_adds_daemons_up_and_writes_one_page) {
   ApplyInitial();
   const std::string broken = WriteFile("broken.json", R"({
@@ -351,8 +355,9 @@
   cr_assert(response.body.find(line) != std::string::npos);
 }
 
-// The address of one more daemon is mistyped, or nobody listens there. The
-// change must not be made and then reported as an error.
+// An additional daemon address is mistyped, or nothing listens on it. A
+// mistyped one must be refused before the change is made; an unreachable one
+// must be reported as lagging, since the change is applied.
 Test(gentianctl, mistyped_daemon_is_refused_before_and_silent_one_is_a_lag) {
   const std::string file = WriteFile("first.json", kInitialDeclarations);
   const CtlResult mistyped =
@@ -365,9 +370,10 @@
   cr_assert_eq(silent.output.at("revision"), 1);
 }
 
-// Two operators apply at the same moment through two daemons. Both read
-// revision 1, and the slow platform takes one change first. The other operator
-// must be told, with both sides, and not overwrite what he has not seen.
+// Two operators apply changes based on revision 1 through two daemons at the
+// same time, and the slow platform accepts one of them first. The other
+// operator must get a conflict with both versions and must not overwrite the
+// first change.
 Test(gentianctl, two_applies_at_once_let_one_through_and_show_both_sides) {
   ApplyInitial();
   cr_assert(Eventually(10, [] { return AppliedRevision(1) == 1; }));
--- a/tests/process/harness.cc
+++ b/tests/process/harness.cc
@@ -110,8 +110,8 @@
 
 std::size_t Deployment::AddDaemon(const std::string& data_centre,
                                   const std::string& region) {
-  // Between the drawing of a port and the daemon's listening another program
-  // may take it. That is no fault of the daemon: it is given others.
+  // Another program may take a port after it was chosen and before the daemon
+  // listens on it. The daemon is then started again with other ports.
   constexpr int kMaxAttempts = 3;
   Daemon daemon;
   daemon.name = "entry-" + std::to_string(daemons_.size());
@@ -122,7 +122,7 @@
     started = StartDaemon(daemon);
   }
   if (!started) {
-    throw std::runtime_error("the daemon did not come up");
+    throw std::runtime_error("the daemon did not start");
   }
   daemons_.push_back(std::move(daemon));
   PublishHosts();
@@ -190,7 +190,8 @@
              !status.at("servers").empty();
     });
     if (!ready) {
-      throw std::runtime_error(daemon.name + " has no configuration");
+      throw std::runtime_error(daemon.name +
+                               " has no configuration or knows no server");
     }
   }
 }
--- a/tests/process/harness.h
+++ b/tests/process/harness.h
@@ -12,42 +12,47 @@
 
 namespace gentianroute::testing {
 
-/// @brief A platform, backend servers and daemons, all as processes.
+/// @brief A stand-in platform, backend servers and daemons, each a process.
 class Deployment {
  public:
   Deployment();
 
-  /// @brief Starts a backend server and lists it under a pool.
+  /// @brief Starts a backend server and adds it to the host list under a pool.
   /// @return its index
   std::size_t AddBackend(const std::string& pool,
                          const std::vector<std::string>& options = {},
                          const std::string& data_centre = "dc-1",
                          const std::string& region = "region-1");
-  /// @brief Starts a daemon and waits until it answers.
+  /// @brief Starts a daemon and waits until its /healthz returns 200.
+  /// @return its index
+  /// @throws std::runtime_error if it does not start
   std::size_t AddDaemon(const std::string& data_centre = "dc-1",
                         const std::string& region = "region-1");
-  /// @brief Where the ports of daemons that are added from now on come from.
+  /// @brief Sets the source of the ports of daemons that are added later.
   void SetPortAllocator(std::function<std::uint16_t()> allocator) {
     allocate_port_ = std::move(allocator);
   }
-  /// @brief Merged over the settings of daemons that are added from now on.
+  /// @brief Sets a JSON merge patch for the settings of daemons that are added
+  /// later.
   void SetDaemonSettings(const std::string& patch) { daemon_settings_ = patch; }
-  /// @brief Starts a backend server again on its port, as a new incarnation.
+  /// @brief Restarts a backend server on its port, as a new incarnation.
   void RestartBackend(std::size_t index);
-  /// @brief Sets fault switches of a backend server, or of the platform.
+  /// @brief Sets the simulated faults of a backend server.
   void SetFaults(std::size_t backend, const std::string& faults) const;
+  /// @brief Sets the simulated faults of the platform.
   void SetPlatformFaults(const std::string& faults) const;
-  /// @brief How often a backend server ran requests with this marker in them.
+  /// @brief Number of requests with this marker that a backend server has run.
   std::uint64_t RunCount(std::size_t backend, const std::string& marker) const;
-  /// @brief What a daemon has logged so far.
+  /// @brief Contents of the log of a daemon so far.
   std::string ReadLog(std::size_t daemon) const;
-  /// @brief Applies declarations through a daemon, and waits until all have
-  /// them in force.
+  /// @brief Applies declarations through the first daemon and waits until all
+  /// daemons have a configuration and know a server.
+  /// @throws std::runtime_error if that fails
   void Apply(const std::string& declarations);
-  /// @brief One try to apply declarations through a daemon.
-  /// @return the exit status of gentianctl; -1 if it goes on for long
+  /// @brief Tries once to apply declarations through the first daemon.
+  /// @return the exit status of gentianctl; -1 if it runs for more than 10 s
   int TryApply(const std::string& declarations);
-  /// @brief Puts the present hosts into the platform's list.
+  /// @brief Publishes the current hosts in the platform's host list.
   void PublishHosts();
 
   Process& platform() { return *platform_; }
@@ -63,12 +68,12 @@
   std::uint16_t operator_port(std::size_t index) const {
     return daemons_[index].operator_port;
   }
-  /// @brief Posts to a service as the test's subscriber.
+  /// @brief Posts to a service with the API key of the tests.
   ClientResponse Post(std::size_t daemon,
                       const std::string& service,
                       const std::string& body,
                       std::vector<std::string> headers = {}) const;
-  /// @brief Path below this test's own folder for files.
+  /// @brief Path of a file in the directory of this test.
   std::string FilePath(const std::string& name) const;
 
  private:
@@ -92,8 +97,8 @@
     std::uint16_t peer_port = 0;
   };
 
-  /// @return whether the daemon answers; it does not if another program has
-  /// taken one of its ports meanwhile
+  /// @return whether the daemon started; it does not if another program has
+  /// taken one of its ports in the meantime
   bool StartDaemon(Daemon& daemon) const;
 
   std::function<std::uint16_t()> allocate_port_ = &FreePort;
--- a/tests/process/history_test.cc
+++ b/tests/process/history_test.cc
@@ -13,7 +13,7 @@
 
 namespace {
 
-/// Requests that the longest window of a service shows.
+/// Number of requests in the longest window of a service.
 std::uint64_t CountInLongestWindow(std::uint16_t operators,
                                    const std::string& name) {
   const ClientResponse response = CallHttp(operators, "GET", "/v1/report", "");
@@ -33,9 +33,9 @@
 
 TestSuite(history);
 
-// What the operator sees: a host is stopped in a planned way and another takes
-// its name; the three-day window still shows what the first one answered. Hosts
-// have no disks, so the first one left its counts in the platform's store.
+// A host is stopped in a planned way and replaced by another one of its name.
+// The three-day window must still include the requests of the first one: hosts
+// have no disks, so that a host writes its counts to the platform's store.
 Test(history, host_replaced_under_its_name_goes_on_counting) {
   PipelineFixture fixture(1, 1, 0);
   cr_assert_eq(fixture.Post(0, "chat", "question").get().status, 200);
--- a/tests/process/malformed_test.cc
+++ b/tests/process/malformed_test.cc
@@ -21,11 +21,11 @@
 constexpr std::uint64_t kSeed = 20261202;
 constexpr int kBatches = 10;
 constexpr int kRequestsPerBatch = 300;
-// A moment to be answered in; those that do not read go away at once.
+// Time without data after which a caller stops reading the response.
 constexpr int kIdleReadMilliseconds = 10;
 constexpr std::uint64_t kMaxGrowthKilobytes = 32 * 1024;
 
-/// A request before it is put on the wire.
+/// The parts of a request before they are serialised.
 struct RequestDraft {
   std::string line = "POST /v1/services/chat HTTP/1.1";
   std::string headers =
@@ -157,12 +157,12 @@
   }
   std::string text = draft.Text();
   if (RandomBelow(random, 3) == 0) {
-    text.resize(RandomBelow(random, text.size()));  // the caller goes away
+    text.resize(RandomBelow(random, text.size()));  // the caller disconnects
   }
   return text;
 }
 
-/// Sends in a few writes; a small pause lets each arrive by itself.
+/// Sends in up to three writes, with a pause so that each arrives separately.
 void SendSplit(Random& random,
                const Connection& connection,
                std::string_view text) {
@@ -193,9 +193,9 @@
 
 TestSuite(malformed);
 
-// What good callers see: answers, as ever. Between their requests others send
-// truncated, oversized and garbled ones, in pieces, and hang up at any moment;
-// none of that ends the daemon or makes it keep memory.
+// Callers send truncated, oversized and corrupted requests in several writes
+// and disconnect at any time. The daemon must keep running and serving valid
+// requests, and its memory must stay bounded.
 Test(malformed, mutated_requests_leave_daemon_serving_in_bounded_memory) {
   PipelineFixture fixture(1, 1, 0, R"({"limits": {"maxBodyBytes": 65536}})");
   const pid_t daemon = fixture.deployment.daemon(0).id();
@@ -218,7 +218,7 @@
     cr_assert_eq(fixture.deployment.daemon(0).Wait(0), -1, "batch %d", batch);
     const std::uint64_t kilobytes = ResidentKilobytes(daemon);
     cr_assert_gt(kilobytes, 0);
-    // The first batch fills pools and buffers that stay.
+    // The first batch fills pools and buffers that are never released.
     first_kilobytes = batch == 0 ? kilobytes : first_kilobytes;
     cr_assert_leq(kilobytes, first_kilobytes + kMaxGrowthKilobytes,
                   "batch %d: %lu kB, after the first %lu kB", batch, kilobytes,
--- a/tests/process/outage_start_test.cc
+++ b/tests/process/outage_start_test.cc
@@ -9,9 +9,9 @@
 using gentianroute::testing::Eventually;
 using gentianroute::testing::PipelineFixture;
 
-// The platform answers nobody, and a host is replaced. The new one gets the
-// configuration from a peer, says that it is ready, and the balancer sends it
-// callers. They are answered: the backend servers are as well as before.
+// A host is added while the platform does not respond. It gets the
+// configuration from a peer and becomes ready, so that the load balancer sends
+// it requests; it must serve them, since the backend servers are available.
 Test(outage_start, new_host_beside_one_that_knows_serves_callers) {
   PipelineFixture fixture(1, 1, 1);
   auto& deployment = fixture.deployment;
--- a/tests/process/pipeline_fixture.h
+++ b/tests/process/pipeline_fixture.h
@@ -10,11 +10,12 @@
 
 namespace gentianroute::testing {
 
-/// @brief A deployment with a service of each sort: `chat` runs one stage that
-/// may repeat, `drafting` streams after it, `ordering` runs one that may not.
+/// @brief A deployment with three services: `chat` has one repeatable stage,
+/// `drafting` has that stage and one that streams, `ordering` has one stage
+/// that is not repeatable.
 struct PipelineFixture {
-  /// @param daemons,encoders,engines how many of each; one order server;
-  /// without daemons nothing is declared
+  /// @param daemons,encoders,engines number of each; there is one order server.
+  /// Declarations are applied only if there are daemons.
   PipelineFixture(std::size_t daemons,
                   std::size_t encoders,
                   std::size_t engines,
@@ -32,7 +33,7 @@
   std::size_t orders = 0;
 };
 
-/// @brief Whether an answer is a problem of this kind.
+/// @brief Whether a response is a problem document of this kind.
 bool IsProblem(const ClientResponse& response, const std::string& kind);
 
 }  // namespace gentianroute::testing
--- a/tests/process/platform_mode_test.cc
+++ b/tests/process/platform_mode_test.cc
@@ -1,5 +1,5 @@
-// The shipped program on the users' platform: a process, with a store and a
-// server that the test plays.
+// Runs the daemon in platform mode as a process, against a store and a backend
+// server that the test simulates.
 
 #include <signal.h>
 #include <stdlib.h>
@@ -32,7 +32,7 @@
 
 constexpr int kTimeoutSeconds = 10;
 
-/// The program with a store that knows one route and one server.
+/// The daemon process, with a store that has one route and one server.
 struct ProgramFixture {
   EventLoop loop;
   FarStore store{loop};
@@ -82,7 +82,8 @@
         folder + "/errors");
   }
 
-  /// Asks the program while the store and the server of this process go on.
+  /// Sends a request to the daemon while the event loop serves the simulated
+  /// store and server.
   testing::ClientResponse SendRequest(std::uint16_t port,
                                       const std::string& method,
                                       const std::string& path,
--- a/tests/process/platform_traffic_test.cc
+++ b/tests/process/platform_traffic_test.cc
@@ -31,7 +31,7 @@
           body.at("whole_lists")};
 }
 
-/// Lets the daemon poll and prints what it moved.
+/// Measures and prints the traffic while the daemon polls.
 Traffic MeasureTraffic(const Deployment& deployment, const char* name) {
   const Traffic before = ReadTraffic(deployment);
   sleep(kMeasureSeconds);
@@ -55,14 +55,14 @@
 TestSuite(platform_traffic);
 
 Test(platform_traffic, unchanged_list_with_tag_is_never_sent_whole) {
-  // As many hosts as the larger of the users has engines and order servers.
+  // The number of engines and order servers of the larger user.
   PipelineFixture fixture(1, 10, 12);
   fixture.deployment.SetPlatformFaults(R"({"no_entity_tag": true})");
   const Traffic untagged =
       MeasureTraffic(fixture.deployment, "without an ETag");
   cr_assert_gt(untagged.full_lists, 0);
   fixture.deployment.SetPlatformFaults(R"({"no_entity_tag": false})");
-  // The first list with a tag comes whole.
+  // The first list with a tag is sent in full.
   const std::uint64_t lists = ReadTraffic(fixture.deployment).full_lists;
   cr_assert(Eventually(
       10, [&] { return ReadTraffic(fixture.deployment).full_lists > lists; }));
@@ -70,7 +70,7 @@
   const Traffic tagged = MeasureTraffic(fixture.deployment, "with an ETag");
   cr_assert_gt(tagged.requests, 0);
   cr_assert_eq(tagged.full_lists, 0);
-  // A change of the list still arrives.
+  // A changed list still reaches the daemon.
   const std::size_t added = fixture.deployment.AddBackend("encoders");
   cr_assert(Eventually(10, [&] {
     return CallHttp(fixture.deployment.operator_port(0), "GET", "/status", "")
--- a/tests/process/ports_test.cc
+++ b/tests/process/ports_test.cc
@@ -12,9 +12,8 @@
 using namespace gentianroute;
 using gentianroute::testing::FreePort;
 
-// A test fails now and then with "the daemon did not come up": one port had
-// been drawn for two of the daemon's addresses, and it could not listen on the
-// second.
+// Guards against a daemon that does not start since the same port was allocated
+// for two of its addresses.
 Test(ports, no_port_is_given_twice) {
   constexpr int kPorts = 3000;
   std::set<std::uint16_t> allocated;
@@ -25,7 +24,7 @@
 
 namespace {
 
-/// Another process that draws ports and holds them until it is let go.
+/// A child process that allocates ports and holds them until this is destroyed.
 class PortHolder {
  public:
   explicit PortHolder(std::size_t ports) {
@@ -65,9 +64,8 @@
 
 }  // namespace
 
-// A test fails now and then with "the daemon did not come up": another test ran
-// beside it and had drawn the same port. Both found it free, and the daemon
-// that came second could not listen on it.
+// Guards against a daemon that does not start since a test that ran at the same
+// time had allocated the same port before any daemon listened on it.
 Test(ports, no_port_is_given_to_two_processes) {
   constexpr std::size_t kPorts = 1500;
   const PortHolder first(kPorts);
@@ -77,13 +75,13 @@
     for (std::size_t i = 0; i < kPorts; ++i) {
       const std::uint16_t port = process->NextPort();
       cr_assert_neq(port, 0);
-      cr_assert(allocated.insert(port).second, "%u was given twice", port);
+      cr_assert(allocated.insert(port).second, "%u was allocated twice", port);
     }
   }
 }
 
-// The same, with a port that another program took meanwhile: the daemon ends,
-// and the test goes on with other ports.
+// Another program takes a port before the daemon listens on it: the daemon
+// exits, and the harness starts it again with other ports.
 Test(ports, daemon_whose_port_was_taken_gets_others) {
   testing::Deployment deployment;
   std::uint16_t taken = deployment.platform_port();
--- a/tests/process/prefix_affinity_test.cc
+++ b/tests/process/prefix_affinity_test.cc
@@ -11,7 +11,7 @@
 
 namespace {
 
-constexpr int kConversationsPerEngine = 8;  // on each engine
+constexpr int kConversationsPerEngine = 8;
 
 std::uint64_t CacheHits(const Deployment& deployment, std::size_t engine) {
   const ClientResponse response =
@@ -24,9 +24,9 @@
          std::to_string(engine) + "/" + std::to_string(number) + R"("})";
 }
 
-/// Begins conversations at each engine itself, then goes on with each of them
+/// Starts conversations directly at each engine and continues each of them
 /// through the daemon.
-/// @return whether every engine was sent its own ones
+/// @return whether each one was continued at the engine that holds it
 bool AllReachTheirEngine(const PipelineFixture& fixture, int round) {
   const Deployment& deployment = fixture.deployment;
   std::vector<std::uint64_t> before;
@@ -38,7 +38,8 @@
     }
     before.push_back(CacheHits(deployment, engine));
   }
-  std::this_thread::sleep_for(std::chrono::seconds(2));  // events come late
+  std::this_thread::sleep_for(
+      std::chrono::seconds(2));  // cache events arrive with a delay
   for (int i = 0; i < kConversationsPerEngine; ++i) {
     for (const std::size_t engine : fixture.engines) {
       deployment.Post(0, "drafting", RequestBody(round, engine, i));
@@ -54,16 +55,16 @@
 
 }  // namespace
 
-// Families go on with conversations that one of two engines holds. Sent to the
-// other one, the whole prompt is read again and the first words come late. The
-// engines' cache events tell the daemon which one holds which. A round in which
-// the machine was too slow for the events is repeated with new conversations;
-// by chance alone a round succeeds once in 65536.
+// Continuing a conversation at an engine without its prefix in the cache delays
+// the first token, since the whole prompt is processed again. The daemon must
+// use the engines' cache events to select the engine that holds the prefix. A
+// round in which the events were too late is repeated with new conversations;
+// by chance a round succeeds once in 65536.
 Test(prefix_affinity, repeated_conversations_go_to_the_engine_that_holds_them) {
   const PipelineFixture fixture(1, 1, 2);
   bool all = false;
   for (int round = 0; round < 3 && !all; ++round) {
     all = AllReachTheirEngine(fixture, round);
   }
-  cr_assert(all, "some conversation was sent to the engine without it");
+  cr_assert(all, "a conversation was sent to an engine that does not hold it");
 }
--- a/tests/process/process.cc
+++ b/tests/process/process.cc
@@ -25,16 +25,16 @@
 
 constexpr int kSignalBase = 128;
 
-/// Processes that run, as far as is known. Never destroyed: tests with a
-/// deployment in a static variable end theirs last of all.
+/// Child processes that have not been waited for. Never destroyed, since tests
+/// with a static Deployment destroy their processes during static destruction.
 std::set<pid_t>& RunningProcesses() {
   static auto* processes = new std::set<pid_t>;
   return *processes;
 }
 
-/// A failed assertion leaves its test by a jump and destroys nothing: the
-/// processes that the test started would run on, a frozen one for ever. The
-/// process of a test exits after each failed assertion, and then runs this.
+/// Exit handler. A failed assertion leaves its test by longjmp without running
+/// destructors, so that child processes would keep running, stopped ones
+/// forever; the process of the test then exits and runs this handler.
 void KillRunningProcesses() {
   for (const pid_t process : RunningProcesses()) {
     kill(process, SIGKILL);
@@ -58,13 +58,13 @@
   return fd;
 }
 
-/// Takes a port for this process among all test processes of the machine, by a
-/// lock on one byte of a file that all of them open.
+/// Reserves a port for this process among all test processes of the host, by a
+/// lock on one byte of a shared file.
 ///
-/// A free port alone is not enough: some time passes until the daemon listens
-/// on it, and tests run side by side drew the same one; the second daemon then
-/// ended with "address already in use". The kernel drops the lock when the
-/// process ends, however it ends.
+/// Checking that a port is free is not enough: the daemon listens on it only
+/// later, and a test that runs at the same time could choose the same port, so
+/// that the second daemon exits with "address already in use". The kernel
+/// releases the lock when the process ends for any reason.
 bool ReservePort(std::uint16_t port) {
   static const int file =
       open("/tmp/gentianroute-test-ports", O_RDWR | O_CREAT | O_CLOEXEC, 0666);
@@ -76,7 +76,8 @@
   return fcntl(file, F_SETLK, &lock) == 0;
 }
 
-/// Whether TCP and UDP are both free there; daemons use one port for both.
+/// Whether the port is free for both TCP and UDP; daemons use one port for
+/// both.
 bool IsPortFree(std::uint16_t port) {
   for (const int type : {SOCK_STREAM, SOCK_DGRAM}) {
     const int fd = socket(AF_INET, type, 0);
@@ -121,7 +122,7 @@
                  const std::string& output_file) {
   int pipe_ends[2];
   if (pipe2(pipe_ends, O_CLOEXEC) != 0) {
-    throw std::runtime_error("no pipe");
+    throw std::runtime_error("can't create a pipe");
   }
   output_ = pipe_ends[0];
   posix_spawn_file_actions_t actions;
@@ -188,7 +189,7 @@
   }
   const std::size_t equals = text.find('=');
   if (equals == std::string::npos) {
-    throw std::runtime_error("no port in '" + text + "'");
+    throw std::runtime_error("no port number in '" + text + "'");
   }
   return static_cast<std::uint16_t>(std::stoi(text.substr(equals + 1)));
 }
--- a/tests/process/process.h
+++ b/tests/process/process.h
@@ -25,25 +25,25 @@
   return condition();
 }
 
-/// @brief A port on which nobody listens. No port is given twice while the
-/// process that asked for it runs, neither to it nor to another test process: a
-/// daemon that got one port for two of its addresses, or another daemon's,
-/// could not start.
+/// @brief Allocates a port on which no process listens. While the calling
+/// process runs, the port is not allocated again, neither to it nor to another
+/// test process: a daemon with a port that is used twice could not start.
 ///
-/// It lies below the range that the kernel serves outgoing connections and port
-/// 0 from: a port of that range may be taken again before the daemon listens on
-/// it, and the daemon then ends with "address already in use".
+/// The port is below the kernel's ephemeral range. A port of that range may be
+/// taken before the daemon listens on it, and the daemon then exits with
+/// "address already in use".
+/// @throws std::runtime_error if no free port is found
 std::uint16_t FreePort();
 
-/// @brief Path of a built program, like `apps/gentianctl`.
+/// @brief Path of a built program, such as `apps/gentianctl`.
 std::string BinaryPath(const std::string& name);
 
-/// @brief One process that a test started; ended by its id at the latest when
-/// this is destroyed, or when the process of a failed test exits.
+/// @brief A child process of a test. It is killed when this object is destroyed
+/// or when the process of a failed test exits.
 class Process {
  public:
-  /// @param output_file where standard output goes; empty: to ReadPort() and
-  /// ReadAll()
+  /// @param output_file file for standard output; if empty, the output is read
+  /// with ReadPort() and ReadAll()
   Process(const std::vector<std::string>& command,
           const std::string& error_file,
           const std::string& output_file = "");
@@ -53,10 +53,11 @@
 
   pid_t id() const { return pid_; }
   void Signal(int number) const;
-  /// @brief Waits for the end.
-  /// @return exit status, or 128 + signal; -1 if it goes on for `seconds`
+  /// @brief Waits until the process ends.
+  /// @return exit status, or 128 + signal; -1 if it still runs after `seconds`
   int Wait(int seconds);
-  /// @brief Reads standard output up to `name=` and a number.
+  /// @brief Reads one line `name=PORT` from standard output.
+  /// @throws std::runtime_error if the line has another form
   std::uint16_t ReadPort();
   /// @brief Reads standard output to its end.
   std::string ReadAll();
@@ -67,20 +68,22 @@
   int status_ = -1;
 };
 
-/// @brief Also ends the processes that this one started when a signal ends it.
+/// @brief Installs signal handlers that kill the child processes when a signal
+/// terminates this process.
 ///
-/// Daemons that outlive a run that crashed go on asking for their store at a
-/// port that a server of the next run then has.
+/// Daemons left over from a crashed run would keep connecting to the port of
+/// their store, which a server of the next run may have.
 void KillProcessesOnSignals();
 
-/// @brief Answer of a blocking HTTP call.
+/// @brief Response to a blocking HTTP call.
 struct ClientResponse {
-  int status = 0;  ///< 0: none
+  int status = 0;  ///< 0 if there is no complete response head
   std::string headers;
   std::string body;
 };
 
-/// @brief Calls over a new connection and reads to the end of the answer.
+/// @brief Sends a request on a new connection and reads the response until the
+/// connection closes.
 ClientResponse CallHttp(std::uint16_t port,
                         const std::string& method,
                         const std::string& path,
--- a/tests/process/propagation_test.cc
+++ b/tests/process/propagation_test.cc
@@ -19,8 +19,7 @@
 namespace {
 
 constexpr std::size_t kDaemons = 4;
-constexpr int kTimeoutSeconds =
-    20;  // seconds; generous, the usual time is printed
+constexpr int kTimeoutSeconds = 20;  // generous; the actual time is printed
 
 json StatusOf(const Deployment& deployment, std::size_t daemon) {
   return json::parse(
@@ -38,7 +37,8 @@
   return false;
 }
 
-/// Posts one after another, each with a marker of its own.
+/// Posts requests with this marker one after another.
+/// @return the number of them that the backend server ran
 std::uint64_t PostAndCountRuns(const PipelineFixture& fixture,
                                std::size_t daemon,
                                std::size_t backend,
@@ -61,7 +61,8 @@
   return true;
 }
 
-/// Applies a change at one daemon and waits until it is in force at all.
+/// Applies a change at one daemon and prints the time until all daemons have
+/// it.
 void PrintPropagationTime(Deployment& deployment) {
   const std::uint64_t before = StatusOf(deployment, 0).at("revision");
   const auto start = std::chrono::steady_clock::now();
@@ -77,9 +78,9 @@
 
 }  // namespace
 
-// A server says of itself that it is leaving, to one daemon only, while the
-// platform's list goes on naming it as live. The second daemon has never asked
-// it: it hears by gossip. Callers of both are answered by the other server.
+// A server reports to one daemon that it is leaving, while the platform's host
+// list still has it as live. The second daemon, which has not called it, learns
+// of it by gossip. Both daemons must send all requests to the other server.
 Test(propagation, leaving_server_that_the_list_names_live_gets_no_new_work) {
   PipelineFixture fixture(2, 2, 1);
   Deployment& deployment = fixture.deployment;
@@ -91,7 +92,7 @@
   }));
   cr_assert(Eventually(kTimeoutSeconds,
                        [&] { return SeesLeavingServer(deployment, 1); }));
-  // A new list arrives at both, and names it as live once more.
+  // Both daemons get a new list that still has the server as live.
   const std::size_t listed = StatusOf(deployment, 0).at("servers").size();
   deployment.AddBackend("encoders");
   for (const std::size_t daemon : {0, 1}) {
@@ -99,7 +100,7 @@
       return StatusOf(deployment, daemon).at("servers").size() > listed;
     }));
   }
-  // From here on it would take work again, if anybody gave it some.
+  // From here on the server would accept requests again.
   deployment.SetFaults(leaving_server, R"({"leaving": false})");
   for (const std::size_t daemon : {0, 1}) {
     const std::string marker = "after-" + std::to_string(daemon);
@@ -107,17 +108,18 @@
   }
 }
 
-// The operator's daemon alone reads the store: the others poll it only once in
-// half a minute, as most of 810 would. They hear of the new revision by gossip,
-// fetch it from that daemon, and have it in force long before they poll.
+// Daemons poll the store only every 30 s, as most of 810 daemons do, so that
+// only the daemon of the operator has the new revision at first. The others
+// must learn of it by gossip and fetch it from that daemon long before their
+// next poll.
 Test(propagation, profile_reaches_daemons_that_do_not_poll) {
   PipelineFixture fixture(kDaemons, 1, 1, R"({"platform": {"pollMs": 30000}})");
   PrintPropagationTime(fixture.deployment);
 }
 
-// An operator applies a profile at one daemon; only that one is told by the
-// store's answer. All others put it in force within seconds. The platform then
-// goes out and comes back: nobody falls back to an earlier revision.
+// An operator applies a change at one daemon, and all others must apply it
+// within seconds. During an outage of the platform and after it, no daemon may
+// return to an earlier revision.
 Test(propagation, profile_is_in_force_everywhere_and_stays) {
   PipelineFixture fixture(kDaemons, 1, 1);
   Deployment& deployment = fixture.deployment;
--- a/tests/process/silent_links_test.cc
+++ b/tests/process/silent_links_test.cc
@@ -28,11 +28,10 @@
 
 TestSuite(silent_links);
 
-// What the caller sees: its resend to the second daemon, which is waiting for
-// the first to tell the outcome, is answered within its own deadline although
-// the first is frozen by then; the answer says that the outcome is unknown,
-// which is true. Once the first goes on, its caller gets the order's answer,
-// and a resend gets the same one.
+// An order is sent again to a second daemon, which asks the first one for the
+// outcome; the first one is then stopped with SIGSTOP. The second daemon must
+// answer outcome_unknown within the deadline of its request. After SIGCONT the
+// first caller gets a response, and the order has run once.
 Test(silent_links, peer_frozen_while_asked_for_outcome_answer_is_true) {
   PipelineFixture fixture(2, 1, 0);
   fixture.deployment.SetFaults(fixture.orders, R"({"delay_ms": 2500})");
@@ -46,7 +45,8 @@
   cr_assert_eq(resend.wait_for(std::chrono::milliseconds(500)),
                std::future_status::timeout);
   fixture.deployment.daemon(0).Signal(SIGSTOP);
-  // Http gives up only long after the profile's deadline.
+  // The timeout of the HTTP call is far longer than the deadline of the
+  // profile.
   const ClientResponse second = resend.get();
   cr_assert(IsProblem(second, "outcome_unknown"), "%s", second.body.c_str());
   fixture.deployment.daemon(0).Signal(SIGCONT);
@@ -54,9 +54,9 @@
   cr_assert_eq(fixture.deployment.RunCount(fixture.orders, "plaque"), 1);
 }
 
-// What callers and operators see: after the platform's open connections went
-// silent, new claims and new revisions go through again without anyone's help.
-// The daemon's calls on the dead connections time out; it opens new ones.
+// All open connections to the platform stop carrying data. The calls on them
+// time out and the daemon opens new ones, so that new claims and new revisions
+// succeed again without intervention.
 Test(silent_links, platform_connections_silent_claims_and_revisions_go_on) {
   PipelineFixture fixture(2, 1, 0);
   for (int round = 0; round < 3; ++round) {
--- a/tests/process/store_outage_test.cc
+++ b/tests/process/store_outage_test.cc
@@ -31,10 +31,10 @@
 
 }  // namespace
 
-// The platform answers nobody. A host that starts then knows no peer that knows
-// anything: it must not say that it is ready, or the balancer sends it requests
-// of services that it has never heard of. A host that starts beside one that
-// knows the configuration gets it from there, though the store is still out.
+// A host that starts while the platform does not respond and no peer has the
+// configuration must not be ready, or the load balancer would send it requests
+// for services that it does not know. A host that starts when a peer has the
+// configuration gets it from that peer during the outage.
 Test(store_outage, new_host_is_ready_only_by_a_peer_that_knows) {
   Deployment deployment;
   deployment.AddBackend("encoders");
--- a/tests/process/test_folder.cc
+++ b/tests/process/test_folder.cc
@@ -21,8 +21,8 @@
   return base == nullptr ? "/tmp" : base;
 }
 
-/// Each test runs in a child of the runner; the name tells the runner, and no
-/// other, which folders are the test's.
+/// Prefix of the directories of a test. Each test runs in a child process; the
+/// process id of the runner tells its directories from those of other runners.
 std::string Prefix(pid_t runner, const criterion_test& test) {
   return "gentianroute-" + std::to_string(runner) + "-" + test.category + "-" +
          test.name + "-";
@@ -59,7 +59,7 @@
   std::string path =
       Base() / (Prefix(getppid(), *criterion_current_test) + "XXXXXX");
   if (mkdtemp(path.data()) == nullptr) {
-    throw std::runtime_error("no folder for the test");
+    throw std::runtime_error("can't create the directory of the test");
   }
   return path;
 }
--- a/tests/process/test_folder.h
+++ b/tests/process/test_folder.h
@@ -5,11 +5,11 @@
 
 namespace gentianroute::testing {
 
-/// @brief Makes a folder for the files of the test that runs. The runner
-/// removes it when the test has passed; it keeps it, and prints its path, when
-/// the test has failed or crashed.
+/// @brief Creates a directory for the files of the running test. The test
+/// runner removes it if the test passes, and otherwise keeps it and prints its
+/// path.
 /// @return its path
-/// @throws std::runtime_error if it can't be made
+/// @throws std::runtime_error if it can't be created
 std::string MakeTestFolder();
 
 }  // namespace gentianroute::testing
