--- a/tests/process/backend_failure_test.cc
+++ b/tests/process/backend_failure_test.cc
@@ -48,7 +48,7 @@
 // The engine is killed in the middle of a stream. Another one continues at the
 // offset that the daemon has recorded, so that the caller gets the complete
 // draft with no token lost or duplicated.
-Test(backend_failure, engine_killed_in_mid_stream_answer_is_whole) {
+Test(backend_failure, engine_killed_in_mid_stream_response_is_complete) {
   PipelineFixture fixture(1, 1, 2);
   std::future<ClientResponse> draft = fixture.Post(0, "drafting", "letter");
   const std::size_t engine = FindEngine(fixture, "letter");
@@ -63,7 +63,7 @@
 // connection stays open but idle. The call times out and another engine
 // continues; the caller gets the complete draft. After SIGCONT the connection
 // of the first engine is closed, and its remaining tokens reach no caller.
-Test(backend_failure, engine_frozen_in_mid_stream_answer_is_whole) {
+Test(backend_failure, engine_stopped_in_mid_stream_response_is_complete) {
   PipelineFixture fixture(1, 1, 2);
   std::future<ClientResponse> draft = fixture.Post(0, "drafting", "letter");
   const std::size_t engine = FindEngine(fixture, "letter");
@@ -78,7 +78,7 @@
 
 // The first engine duplicates tokens, skips tokens, truncates its stream or
 // sends the id of another attempt; the caller gets a complete draft each time.
-Test(backend_failure, engine_with_broken_streams_answers_are_whole) {
+Test(backend_failure, engine_with_broken_streams_responses_are_complete) {
   PipelineFixture fixture(1, 1, 2);
   for (const char* fault :
        {R"({"double_tokens": true})", R"({"skip_tokens": true})",
@@ -100,7 +100,7 @@
 // the field of the wrong type as a gap in the stream: the caller gets the
 // complete draft from the second engine, or some response if both engines do
 // so, and the daemon keeps serving.
-Test(backend_failure, engine_with_null_tokens_daemon_lives_and_answers) {
+Test(backend_failure, engine_with_null_tokens_daemon_keeps_serving) {
   PipelineFixture fixture(1, 1, 2);
   fixture.deployment.SetFaults(fixture.engines[0], R"({"null_tokens": true})");
   for (int i = 0; i < 4; ++i) {
@@ -167,7 +167,7 @@
 
 // The first server sends the response of another attempt, a truncated one, a
 // late one or an error; the caller gets the response of the other server.
-Test(backend_failure, server_with_wrong_answers_caller_gets_its_own) {
+Test(backend_failure, server_with_wrong_responses_caller_gets_its_own) {
   PipelineFixture fixture(1, 2, 0);
   for (const char* fault :
        {R"({"crossed": true})", R"({"crossed": false, "truncate": true})",
@@ -187,7 +187,7 @@
 // The order server accepts two requests at a time and refuses the others before
 // running them. Each order must be answered or reported as not run: the server
 // has run each answered one once and each refused one never.
-Test(backend_failure, server_refuses_orders_not_run_is_true) {
+Test(backend_failure, server_refuses_orders_refused_ones_never_run) {
   PipelineFixture fixture(1, 1, 0);
   fixture.deployment.SetFaults(fixture.orders,
                                R"({"max_in_flight": 2, "delay_ms": 100})");
--- a/tests/process/callers_test.cc
+++ b/tests/process/callers_test.cc
@@ -75,7 +75,7 @@
 
 // Each invalid request gets a problem document of the right kind, or at least
 // the right status, and the daemon keeps serving.
-Test(callers, requests_that_cannot_be_taken_get_a_clear_problem) {
+Test(callers, invalid_requests_get_the_matching_problem) {
   PipelineFixture fixture(1, 1, 0, R"({"limits": {"maxBodyBytes": 2048}})");
   const auto post = [&fixture](const std::string& service,
                                const std::string& body,
@@ -113,7 +113,7 @@
 
 // With the maximum number of connections open, a new one gets
 // too_many_connections instead of a reset, and the open ones are still served.
-Test(callers, one_connection_too_many_is_told_and_others_go_on) {
+Test(callers, connection_over_limit_is_refused_and_open_ones_are_served) {
   PipelineFixture fixture(1, 1, 0, R"({"limits": {"maxConnections": 2}})");
   const Connection first(fixture.deployment.caller_port(0));
   const Connection second(fixture.deployment.caller_port(0));
@@ -145,7 +145,7 @@
 
 // A caller sends half a request and then nothing; the daemon closes that
 // connection after ten seconds, and other callers are not affected.
-Test(callers, half_a_request_is_closed_and_others_are_served) {
+Test(callers, incomplete_request_is_closed_and_others_are_served) {
   PipelineFixture fixture(1, 1, 0);
   const Connection incomplete(fixture.deployment.caller_port(0));
   incomplete.Send("POST /v1/services/chat HTTP/1.1\r\nhost: t\r\ncontent-le");
--- a/tests/process/claim_failure_test.cc
+++ b/tests/process/claim_failure_test.cc
@@ -63,7 +63,7 @@
 // While the platform is unavailable, an order with a key is refused as not run,
 // with Retry-After, and requests without a key are served. When the platform is
 // available again, an order with the same key succeeds.
-Test(claim_failure, platform_down_keyed_refused_unkeyed_go_on) {
+Test(claim_failure, platform_down_keyed_refused_unkeyed_served) {
   PipelineFixture fixture(1, 1, 0);
   for (const char* fault :
        {R"({"outage": true})", R"({"outage": false, "error_status": 503})",
--- a/tests/process/crashing_request_test.cc
+++ b/tests/process/crashing_request_test.cc
@@ -15,7 +15,7 @@
 // One request crashes each server that runs it, and the servers restart as new
 // processes. That request must be refused as quarantined, and all other
 // requests that ran on the same servers must be answered.
-Test(crashing_request, is_quarantined_and_neighbours_are_answered) {
+Test(crashing_request, is_quarantined_and_others_are_answered) {
   PipelineFixture fixture(1, 3, 0);
   for (const std::size_t encoder : fixture.encoders) {
     fixture.deployment.SetFaults(
--- a/tests/process/engine_orders_test.cc
+++ b/tests/process/engine_orders_test.cc
@@ -42,7 +42,7 @@
 // other daemon must acquire the lease of the pool, detect the wrong model by
 // reading the state of the engine, and correct it; it must then exit with 0
 // when it is stopped.
-Test(engine_orders, survivor_repairs_an_engine_after_a_daemon_died) {
+Test(engine_orders, remaining_daemon_corrects_engine_after_other_was_killed) {
   Deployment deployment;
   deployment.AddBackend("llm", {"--checks-fencing"});
   deployment.AddBackend("llm");
--- a/tests/process/gentianctl_test.cc
+++ b/tests/process/gentianctl_test.cc
@@ -151,7 +151,7 @@
 // An operator applies a change with --wait while one daemon is stopped with
 // SIGSTOP. That daemon was reachable a moment ago, so that it still counts as
 // reachable, and the wait must not report success.
-Test(gentianctl, apply_with_wait_tells_that_a_daemon_lags) {
+Test(gentianctl, apply_with_wait_reports_lagging_daemon) {
   ApplyInitial();
   deployment->daemon(2).Signal(SIGSTOP);
   const CtlResult result =
@@ -202,7 +202,7 @@
 // already applied when the second one is sent. The second operator must get a
 // conflict with both versions and the author of the first, whose change must
 // stay.
-Test(gentianctl, second_of_two_racing_operators_sees_both_sides) {
+Test(gentianctl, second_of_two_conflicting_changes_gets_both_versions) {
   ApplyInitial();
   cr_assert_eq(
       RunCtl({"apply", WriteFile("a.json", DeclarationsWithDeadline(4000)),
@@ -224,7 +224,7 @@
 // The platform stores a change but its responses are lost, so that the operator
 // does not know the outcome. A retry with the same change id must find the
 // change and create no second revision.
-Test(gentianctl, lost_answer_is_settled_by_the_change_id) {
+Test(gentianctl, lost_response_is_resolved_by_change_id) {
   ApplyInitial();
   const std::string file = WriteFile("a.json", DeclarationsWithDeadline(4000));
   const auto faults = [](const std::string& text) {
@@ -297,7 +297,7 @@
   cr_assert_eq(AppliedRevision(), 0);
 }
 
-Test(gentianctl, drain_ends_the_daemon_in_a_planned_way) {
+Test(gentianctl, drain_stops_daemon_with_exit_zero) {
   cr_assert_eq(RunCtl({"status"}, 1).output.at("draining"), false);
   cr_assert_eq(RunCtl({"drain"}, 1).code, 0);
   cr_assert_eq(deployment->daemon(1).Wait(20), 0);
@@ -358,7 +358,7 @@
 // An additional daemon address is mistyped, or nothing listens on it. A
 // mistyped one must be refused before the change is made; an unreachable one
 // must be reported as lagging, since the change is applied.
-Test(gentianctl, mistyped_daemon_is_refused_before_and_silent_one_is_a_lag) {
+Test(gentianctl, mistyped_daemon_is_refused_and_unreachable_one_lags) {
   const std::string file = WriteFile("first.json", kInitialDeclarations);
   const CtlResult mistyped =
       RunCtl({"--also", "nowhere", "apply", file, "--wait", "1"});
@@ -374,7 +374,7 @@
 // same time, and the slow platform accepts one of them first. The other
 // operator must get a conflict with both versions and must not overwrite the
 // first change.
-Test(gentianctl, two_applies_at_once_let_one_through_and_show_both_sides) {
+Test(gentianctl, concurrent_applies_accept_one_and_show_both_versions) {
   ApplyInitial();
   cr_assert(Eventually(10, [] { return AppliedRevision(1) == 1; }));
   CallHttp(deployment->platform_port(), "PUT", "/control/faults",
--- a/tests/process/outage_start_test.cc
+++ b/tests/process/outage_start_test.cc
@@ -12,7 +12,7 @@
 // A host is added while the platform does not respond. It gets the
 // configuration from a peer and becomes ready, so that the load balancer sends
 // it requests; it must serve them, since the backend servers are available.
-Test(outage_start, new_host_beside_one_that_knows_serves_callers) {
+Test(outage_start, new_host_with_configured_peer_serves_callers) {
   PipelineFixture fixture(1, 1, 1);
   auto& deployment = fixture.deployment;
   deployment.SetPlatformFaults(R"({"silent": true})");
--- a/tests/process/platform_traffic_test.cc
+++ b/tests/process/platform_traffic_test.cc
@@ -54,7 +54,7 @@
 
 TestSuite(platform_traffic);
 
-Test(platform_traffic, unchanged_list_with_tag_is_never_sent_whole) {
+Test(platform_traffic, unchanged_list_with_tag_is_never_sent_in_full) {
   // The number of engines and order servers of the larger user.
   PipelineFixture fixture(1, 10, 12);
   fixture.deployment.SetPlatformFaults(R"({"no_entity_tag": true})");
--- a/tests/process/ports_test.cc
+++ b/tests/process/ports_test.cc
@@ -14,7 +14,7 @@
 
 // Guards against a daemon that does not start since the same port was allocated
 // for two of its addresses.
-Test(ports, no_port_is_given_twice) {
+Test(ports, no_port_is_allocated_twice) {
   constexpr int kPorts = 3000;
   std::set<std::uint16_t> allocated;
   for (int i = 0; i < kPorts; ++i) {
@@ -66,7 +66,7 @@
 
 // Guards against a daemon that does not start since a test that ran at the same
 // time had allocated the same port before any daemon listened on it.
-Test(ports, no_port_is_given_to_two_processes) {
+Test(ports, no_port_is_allocated_to_two_processes) {
   constexpr std::size_t kPorts = 1500;
   const PortHolder first(kPorts);
   const PortHolder second(kPorts);
--- a/tests/process/silent_links_test.cc
+++ b/tests/process/silent_links_test.cc
@@ -32,7 +32,7 @@
 // outcome; the first one is then stopped with SIGSTOP. The second daemon must
 // answer outcome_unknown within the deadline of its request. After SIGCONT the
 // first caller gets a response, and the order has run once.
-Test(silent_links, peer_frozen_while_asked_for_outcome_answer_is_true) {
+Test(silent_links, peer_stopped_while_asked_for_outcome_response_is_unknown) {
   PipelineFixture fixture(2, 1, 0);
   fixture.deployment.SetFaults(fixture.orders, R"({"delay_ms": 2500})");
   std::future<ClientResponse> first =
@@ -57,7 +57,7 @@
 // All open connections to the platform stop carrying data. The calls on them
 // time out and the daemon opens new ones, so that new claims and new revisions
 // succeed again without intervention.
-Test(silent_links, platform_connections_silent_claims_and_revisions_go_on) {
+Test(silent_links, platform_connections_silent_claims_and_revisions_recover) {
   PipelineFixture fixture(2, 1, 0);
   for (int round = 0; round < 3; ++round) {
     const std::string name = "plaque-" + std::to_string(round);
--- a/tests/process/store_outage_test.cc
+++ b/tests/process/store_outage_test.cc
@@ -35,7 +35,7 @@
 // configuration must not be ready, or the load balancer would send it requests
 // for services that it does not know. A host that starts when a peer has the
 // configuration gets it from that peer during the outage.
-Test(store_outage, new_host_is_ready_only_by_a_peer_that_knows) {
+Test(store_outage, new_host_is_ready_only_with_configuration_from_peer) {
   Deployment deployment;
   deployment.AddBackend("encoders");
   SetSilent(deployment, true);
--- a/tests/process/whole_path_test.cc
+++ b/tests/process/whole_path_test.cc
@@ -43,7 +43,7 @@
 
 TestSuite(whole_path, .init = SetUp, .fini = TearDown);
 
-Test(whole_path, request_through_two_stages_gets_whole_answer_and_cost) {
+Test(whole_path, request_through_two_stages_gets_complete_response_and_cost) {
   for (const std::size_t daemon : {0U, 1U}) {
     const ClientResponse response =
         deployment->Post(daemon, "drafting", R"({"prompt": "hello"})");
--- a/tests/soak/soak_servers.h
+++ b/tests/soak/soak_servers.h
@@ -48,7 +48,8 @@
   void Start(bool under_old_id);
   /// @brief Stops without notice; the list drops it after a delay.
   void Crash();
-  /// @brief Registers as draining, serves on for a while, then stops.
+  /// @brief Registers as draining, continues to serve for kDrainTime, then
+  /// stops.
   void Drain();
   void SetFaults(const ServerFaults& faults);
   FaultProxy& link() { return *link_; }
