--- a/packages/gateway/src/gateway_peers.cc
+++ b/packages/gateway/src/gateway_peers.cc
@@ -5,30 +5,32 @@
 
 #include "gentianroute/gateway/detail/gateway_impl.h"
 
-// What a daemon tells its peers, and what it does with what they tell.
+// The contents of heartbeats and store copies, and the processing of those of
+// peers.
 
 namespace gentianroute::gateway {
 namespace {
 
-/// Below this a load is nothing, after many additions and subtractions.
-constexpr double kLeastLoad = 0.5;
+/// A smaller load is a rounding error of many additions and subtractions.
+constexpr double kMinReportedLoad = 0.5;
 
 }  // namespace
 
-void Gateway::Impl::FillBeat(schema::Beat::Builder beat, Load load) {
-  beat.setDeploymentVersion(deployment_.newest_change());
-  beat.setServersVersion(server_rows_.newest_change());
-  beat.setStoreContact(static_cast<std::uint8_t>(
+void Gateway::Impl::FillHeartbeat(schema::Beat::Builder heartbeat,
+                                  LoadReport load) {
+  heartbeat.setDeploymentVersion(deployment_.newest_change());
+  heartbeat.setServersVersion(server_rows_.newest_change());
+  heartbeat.setStoreContact(static_cast<std::uint8_t>(
       std::max(server_rows_.contact(), deployment_.contact())));
   std::vector<const routing::Server*> busy;
-  if (load == Load::kTold) {
+  if (load == LoadReport::kIncluded) {
     servers_.ForEach([&busy](routing::Server& server) {
-      if (server.own().calls > kLeastLoad) {
+      if (server.own().calls > kMinReportedLoad) {
         busy.push_back(&server);
       }
     });
   }
-  auto work = beat.initWork(static_cast<unsigned>(busy.size()));
+  auto work = heartbeat.initWork(static_cast<unsigned>(busy.size()));
   for (unsigned i = 0; i < busy.size(); ++i) {
     const routing::ServerLoad& own = busy[i]->own();
     work[i].setServer(busy[i]->record().id);
@@ -49,7 +51,7 @@
                       backlogs.push_back({service, data_centre, backlog});
                       stages_.OnBacklog(now, service, data_centre, backlog);
                     });
-  auto out = beat.initBacklogs(static_cast<unsigned>(backlogs.size()));
+  auto out = heartbeat.initBacklogs(static_cast<unsigned>(backlogs.size()));
   for (unsigned i = 0; i < backlogs.size(); ++i) {
     out[i].setService(std::string(backlogs[i].service));
     out[i].setDataCentre(std::string(backlogs[i].data_centre));
@@ -58,7 +60,8 @@
     out[i].setAllMs(static_cast<float>(Milliseconds(backlogs[i].backlog.all)));
   }
   const auto quarantined = suspects_.Quarantined(now);
-  auto list = beat.initQuarantined(static_cast<unsigned>(quarantined.size()));
+  auto list =
+      heartbeat.initQuarantined(static_cast<unsigned>(quarantined.size()));
   for (unsigned i = 0; i < quarantined.size(); ++i) {
     list[i].setFingerprint(quarantined[i].first.value);
     list[i].setRemainingMs(
@@ -66,12 +69,12 @@
   }
 }
 
-void Gateway::Impl::OnBeat(schema::Beat::Reader beat) {
+void Gateway::Impl::OnHeartbeat(schema::Beat::Reader heartbeat) {
   const TimePoint now = loop_.Now();
-  const std::string name = beat.getDaemon();
+  const std::string name = heartbeat.getDaemon();
   ForgetLoads(name);
   auto& loads = peer_loads_[name];
-  for (const auto work : beat.getWork()) {
+  for (const auto work : heartbeat.getWork()) {
     const routing::ServerLoad load{work.getCalls(), work.getTokens(),
                                    work.getUnreadTokens()};
     const std::string id = work.getServer();
@@ -80,21 +83,22 @@
       loads[id] = load;
     }
   }
-  for (const auto backlog : beat.getBacklogs()) {
+  for (const auto backlog : heartbeat.getBacklogs()) {
     const std::string service = backlog.getService();
     const std::string data_centre = backlog.getDataCentre();
     stages_.OnBacklog(now, service, data_centre,
                       {FromMilliseconds(backlog.getInTimeMs()),
                        FromMilliseconds(backlog.getAllMs())});
   }
-  for (const auto entry : beat.getQuarantined()) {
+  for (const auto entry : heartbeat.getQuarantined()) {
     suspects_.OnPeerQuarantine(
         now, Fingerprint{entry.getFingerprint()},
         std::chrono::milliseconds(entry.getRemainingMs()));
   }
-  const auto contact = static_cast<StoreContact>(beat.getStoreContact());
+  const auto contact = static_cast<StoreContact>(heartbeat.getStoreContact());
   const auto before = std::exchange(store_contacts_[name], contact);
-  if (before == StoreContact::kSilent && contact == StoreContact::kAnswers) {
+  if (before == StoreContact::kUnreachable &&
+      contact == StoreContact::kReachable) {
     servers_.OnStoreRecovered(now);
   }
   if (before != contact) {
@@ -133,10 +137,10 @@
       servers.rows,
       copy.initServers(static_cast<unsigned>(servers.rows.size())));
   copy.setServersVersion(servers.version);
-  copy.setServersWhole(servers.whole);
-  copy.setServersListedVersion(servers.listed_version);
-  copy.setServersListed(
-      kj::arrayPtr(servers.listed.data(), servers.listed.size()));
+  copy.setServersWhole(servers.is_full);
+  copy.setServersListedVersion(servers.live_keys_version);
+  copy.setServersListed(kj::arrayPtr(servers.live_key_hashes.data(),
+                                     servers.live_key_hashes.size()));
 }
 
 void Gateway::Impl::OnStoreCopy(schema::StoreCopy::Reader copy) {
@@ -147,20 +151,20 @@
   }
   if (!deployment.rows.empty()) {
     LogEvent("deployment_from_peer").Field("row_version", deployment.version);
-    deployment.whole = !deployment_.known();
-    deployment_.Offer(deployment);
+    deployment.is_full = !deployment_.is_loaded();
+    deployment_.MergePeerCopy(deployment);
   }
   if (copy.getServersVersion() > 0) {
     StoreChanges servers{detail::ReadRows(copy.getServers()),
                          copy.getServersVersion(), copy.getServersWhole()};
-    servers.listed_version = copy.getServersListedVersion();
+    servers.live_keys_version = copy.getServersListedVersion();
     for (const std::uint64_t hash : copy.getServersListed()) {
-      servers.listed.push_back(hash);
+      servers.live_key_hashes.push_back(hash);
     }
     LogEvent("servers_from_peer")
         .Field("version", servers.version)
         .Field("rows", servers.rows.size());
-    server_rows_.Offer(servers);
+    server_rows_.MergePeerCopy(servers);
   }
 }
 
