--- a/packages/gateway/include/gentianroute/gateway/cluster.h
+++ b/packages/gateway/include/gentianroute/gateway/cluster.h
@@ -44,10 +44,10 @@
   virtual void OnPeerGone(std::string_view peer) = 0;
   /// @brief Runs a group for a peer; `done` is called once, unless the returned
   /// object is destroyed before.
-  virtual std::unique_ptr<GroupHold> RunGroup(std::string_view service,
-                                              std::string_view data_centre,
-                                              routing::StageGroup group,
-                                              GroupDone done) = 0;
+  virtual std::unique_ptr<GroupHandle> RunGroup(std::string_view service,
+                                                std::string_view data_centre,
+                                                routing::StageGroup group,
+                                                GroupDone done) = 0;
   /// @brief Peers no longer need these results, which are held by servers that
   /// this daemon schedules.
   virtual void OnReleased(std::string_view service,
@@ -91,7 +91,7 @@
 
   /// @brief Sends a group to another daemon, as PeerCalls::RunGroup does.
   /// @param peer name returned by SchedulerOf
-  std::unique_ptr<GroupHold> RunGroupAt(
+  std::unique_ptr<GroupHandle> RunGroupAt(
       std::string_view peer,
       const PoolKey& pool,
       const routing::StageGroup& group,
--- a/packages/gateway/include/gentianroute/gateway/peer_calls.h
+++ b/packages/gateway/include/gentianroute/gateway/peer_calls.h
@@ -40,7 +40,7 @@
   /// @param done called once: with the outcome, or with nothing if the call
   /// failed and the pieces may have been executed. Not called after the
   /// returned object is destroyed.
-  std::unique_ptr<GroupHold> RunGroup(
+  std::unique_ptr<GroupHandle> RunGroup(
       const DaemonState& peer,
       const PoolKey& pool,
       const routing::StageGroup& group,
--- /dev/null
+++ b/packages/gateway/include/gentianroute/gateway/request_recorder.h
@@ -0,0 +1,93 @@
+#ifndef GENTIANROUTE_GATEWAY_REQUEST_RECORDER_H_
+#define GENTIANROUTE_GATEWAY_REQUEST_RECORDER_H_
+
+#include <array>
+#include <cstdint>
+#include <map>
+#include <string>
+#include <string_view>
+
+#include "gentianroute/base/error_kind.h"
+#include "gentianroute/base/time.h"
+#include "gentianroute/observe/duration_histogram.h"
+#include "gentianroute/observe/metric_writer.h"
+#include "gentianroute/routing/deployment.h"
+
+namespace gentianroute::gateway {
+
+/// @brief How a request ended.
+struct RequestEnd {
+  std::string_view id;
+  std::string_view route;
+  std::string_view organisation;
+  std::string_view service;
+  std::string_view server;  ///< the last one tried; empty if none
+  std::string_view outcome;
+  std::string_view detail;
+  int status = 0;
+  std::uint32_t attempts = 0;  ///< excludes those that were not sent
+  std::uint64_t deployment_version = 0;
+  Duration stages_time{};  ///< until all stages were done; 0 if they were not
+  Duration time_to_first_byte{};  ///< 0 if there was no answer
+  Duration total_time{};
+  routing::RouteKind kind = routing::RouteKind::kIdempotent;
+};
+
+/// @brief An accepted request, and the expectations of it.
+struct RequestAdmitted {
+  std::string_view id;
+  std::string_view route;
+  std::string_view organisation;
+  std::uint64_t deployment_version = 0;
+  std::string_view
+      stage_pieces;  ///< numbers from the caller, separated by commas
+  /// Data centre of the server that it would be sent to now; empty if none.
+  std::string_view home_data_centre;
+  Duration time_left{};
+  Duration expected_stage_time{};  ///< estimated from the backlogs
+};
+
+/// @brief One attempt to have a request answered by a server.
+struct RequestSent {
+  std::string_view id;
+  std::string_view server;
+  std::string_view data_centre;
+  double server_calls = 0;   ///< in flight at the server, from all daemons
+  double server_tokens = 0;  ///< memory that these calls need, in tokens
+  /// Tokens that the server has to prefill for earlier requests.
+  double pending_prefill_tokens = 0;
+  double own_tokens = 0;  ///< of its prompt, without the shared parts
+  /// Tokens of shared parts that the server may not have in its cache.
+  double uncached_shared_tokens = 0;
+  double score_ms = 0;  ///< score of the chosen server, the lowest of all
+  Duration time_left{};
+};
+
+/// @brief Counts and logs the outcomes of requests. Metric labels come from a
+/// fixed set, so that callers can't make their number grow.
+class RequestRecorder {
+ public:
+  void OnAdmitted(const RequestAdmitted& admitted);
+  void OnSent(const RequestSent& sent);
+  void OnEnd(const RequestEnd& end);
+  /// @brief Records that a request was retried or resumed, or that stages were
+  /// run again.
+  /// @param what kind of retry, a metric label
+  void OnRetry(std::string_view id,
+               std::string_view what,
+               std::string_view server,
+               std::string_view reason);
+  void Write(MetricWriter& writer) const;
+
+ private:
+  static constexpr std::size_t kRouteKinds = 3;
+
+  std::map<std::string, std::uint64_t, std::less<>> outcomes_;
+  std::map<std::string, std::uint64_t, std::less<>> retries_;
+  std::array<DurationHistogram, kRouteKinds> first_byte_times_;
+  std::array<DurationHistogram, kRouteKinds> total_times_;
+};
+
+}  // namespace gentianroute::gateway
+
+#endif  // GENTIANROUTE_GATEWAY_REQUEST_RECORDER_H_
--- a/packages/gateway/include/gentianroute/gateway/result_releases.h
+++ b/packages/gateway/include/gentianroute/gateway/result_releaser.h
@@ -1,5 +1,5 @@
-#ifndef GENTIANROUTE_GATEWAY_RESULT_RELEASES_H_
-#define GENTIANROUTE_GATEWAY_RESULT_RELEASES_H_
+#ifndef GENTIANROUTE_GATEWAY_RESULT_RELEASER_H_
+#define GENTIANROUTE_GATEWAY_RESULT_RELEASER_H_
 
 #include <cstdint>
 #include <map>
@@ -13,17 +13,18 @@
 
 namespace gentianroute::gateway {
 
-/// @brief Tells stage servers which results nobody will read any more.
+/// @brief Tells stage servers which results nobody reads any more.
 ///
-/// A result takes up room at its maker until it is released or runs out after
-/// seconds; without releases a server of large results is full after a few
-/// calls and turns pieces away. Releases to one server share a call.
-class ResultReleases {
+/// A result occupies storage at the server that computed it until it is
+/// released or expires some seconds later. Without releases, a server with
+/// large results is full after a few calls and rejects pieces. Releases are
+/// batched per server.
+class ResultReleaser {
  public:
-  ResultReleases(EventLoop& loop,
+  ResultReleaser(EventLoop& loop,
                  RelayClient& client,
                  const Translator& translator);
-  ~ResultReleases();
+  ~ResultReleaser();
 
   void Release(std::vector<std::string> results);
 
@@ -34,10 +35,10 @@
   EventLoop& loop_;
   RelayFetches fetches_;
   const Translator& translator_;
-  std::map<Endpoint, std::vector<std::string>> waiting_;
+  std::map<Endpoint, std::vector<std::string>> pending_;
   TimerId timer_;
 };
 
 }  // namespace gentianroute::gateway
 
-#endif  // GENTIANROUTE_GATEWAY_RESULT_RELEASES_H_
+#endif  // GENTIANROUTE_GATEWAY_RESULT_RELEASER_H_
--- a/packages/gateway/src/result_releases.cc
+++ b/packages/gateway/src/result_releaser.cc
@@ -1,4 +1,4 @@
-#include "gentianroute/gateway/result_releases.h"
+#include "gentianroute/gateway/result_releaser.h"
 
 #include <utility>
 
@@ -7,51 +7,51 @@
 namespace gentianroute::gateway {
 namespace {
 
-/// Releases within this time share a call. A server of large results is full
-/// after two calls, so it must be far below the time of a call.
-constexpr Duration kTick = std::chrono::milliseconds(20);
+/// Releases are sent in batches with this period. It must be far below the time
+/// of a stage call, since a server with large results is full after two calls.
+constexpr Duration kReleasePeriod = std::chrono::milliseconds(20);
 constexpr Duration kCallTimeout = std::chrono::seconds(2);
-constexpr std::size_t kMostInCall = 400;
+constexpr std::size_t kMaxResultsPerCall = 400;
 
 }  // namespace
 
-ResultReleases::ResultReleases(EventLoop& loop,
+ResultReleaser::ResultReleaser(EventLoop& loop,
                                RelayClient& client,
                                const Translator& translator)
     : loop_(loop), fetches_(loop, client), translator_(translator) {
-  timer_ = loop_.Every(kTick, [this] { Flush(); });
+  timer_ = loop_.Every(kReleasePeriod, [this] { Flush(); });
 }
 
-ResultReleases::~ResultReleases() {
+ResultReleaser::~ResultReleaser() {
   loop_.Cancel(timer_);
 }
 
-void ResultReleases::Release(std::vector<std::string> results) {
+void ResultReleaser::Release(std::vector<std::string> results) {
   for (std::string& result : results) {
     const auto holder = translator_.HolderOf(result);
     if (!holder) {
       LogEvent("result_unreadable", LogLevel::kWarning).Field("result", result);
       continue;
     }
-    waiting_[*holder].push_back(std::move(result));
+    pending_[*holder].push_back(std::move(result));
   }
 }
 
-void ResultReleases::Flush() {
-  for (auto& [server, results] : std::exchange(waiting_, {})) {
+void ResultReleaser::Flush() {
+  for (auto& [server, results] : std::exchange(pending_, {})) {
     Send(server, std::move(results));
   }
 }
 
-void ResultReleases::Send(const Endpoint& server,
+void ResultReleaser::Send(const Endpoint& server,
                           std::vector<std::string> results) {
-  if (results.size() > kMostInCall) {
-    results.resize(kMostInCall);
+  if (results.size() > kMaxResultsPerCall) {
+    results.resize(kMaxResultsPerCall);
   }
   RelayCall call;
   call.endpoint = server;
   call.message = translator_.ReleaseMessage(server, results);
-  // A lost release costs room for some seconds only; it is not repeated.
+  // A failed release is not retried, since the results expire within seconds.
   fetches_.Start(std::move(call), kCallTimeout,
                  [](const RelayFetchResult& end) {
                    if (!end.complete) {
