--- a/packages/entry/include/gentianroute/entry/backend_calls.h
+++ b/packages/entry/include/gentianroute/entry/backend_calls.h
@@ -11,15 +11,15 @@
 
 namespace gentianroute {
 
-/// @brief Carries out the coordinator's calls over HTTP; the protocol towards
-/// backend servers is in docs/BACKENDS.md.
+/// @brief Executes the coordinator's backend calls over HTTP;
+/// docs/BACKENDS.md describes the protocol.
 class BackendCalls {
  public:
-  /// @param touched called after each event that was fed to the coordinator
+  /// @param request_advance called after each input to the coordinator
   BackendCalls(EventLoop& loop,
                HttpClient& client,
                Coordinator& coordinator,
-               std::function<void()> touched);
+               std::function<void()> request_advance);
 
   void Start(const StartAttempt& start);
   void Cancel(const CancelAttempt& cancel);
@@ -29,12 +29,14 @@
   class PlainObserver;
   class StreamObserver;
 
-  void Fail(AttemptId attempt, HttpCallError error, std::string_view detail);
+  void ReportFailure(AttemptId attempt,
+                     HttpCallError error,
+                     std::string_view detail);
 
   EventLoop& loop_;
   HttpClient& client_;
   Coordinator& coordinator_;
-  std::function<void()> touched_;
+  std::function<void()> request_advance_;
   std::unordered_map<AttemptId, HttpCallId> calls_;
 };
 
--- a/packages/entry/include/gentianroute/entry/claim_sync.h
+++ b/packages/entry/include/gentianroute/entry/claim_sync.h
@@ -9,26 +9,28 @@
 
 namespace gentianroute {
 
-/// @brief Carries the claim ledger's steps to the table service and back.
+/// @brief Sends the claim ledger's operations to the table service and passes
+/// the results back.
 class ClaimSync {
  public:
+  /// @param request_advance called after each result passed to the ledger
   ClaimSync(EventLoop& loop,
             TableService& tables,
             ClaimLedger& ledger,
-            std::function<void()> touched)
+            std::function<void()> request_advance)
       : loop_(loop),
         tables_(tables),
         ledger_(ledger),
-        touched_(std::move(touched)) {}
+        request_advance_(std::move(request_advance)) {}
 
-  /// @brief Sends what the ledger wants done.
-  void Pump();
+  /// @brief Sends the ledger's pending operations.
+  void SendOperations();
 
  private:
   EventLoop& loop_;
   TableService& tables_;
   ClaimLedger& ledger_;
-  std::function<void()> touched_;
+  std::function<void()> request_advance_;
 };
 
 }  // namespace gentianroute
--- a/packages/entry/include/gentianroute/entry/daemon_options.h
+++ b/packages/entry/include/gentianroute/entry/daemon_options.h
@@ -17,11 +17,12 @@
 
 namespace gentianroute {
 
-// The settings as options of the daemon's parts.
+// Conversions of the settings to the options of the daemon's components.
 
-std::map<std::string, PathCost> PathsOf(schema::Settings::Reader settings);
+/// @brief Returns the path cost to each data centre that has a link.
+std::map<std::string, PathCost> PathCosts(schema::Settings::Reader settings);
 
-std::vector<PeerAddress> SeedsOf(schema::Settings::Reader settings);
+std::vector<PeerAddress> SeedPeers(schema::Settings::Reader settings);
 
 HttpServer::Options ServerOptions(schema::Listener::Reader listener,
                                   schema::Limits::Reader limits);
--- a/packages/entry/src/caller_api.cc
+++ b/packages/entry/src/caller_api.cc
@@ -23,18 +23,18 @@
 constexpr std::size_t kMaxHeaderBytes = 16 * 1024;
 constexpr std::size_t kMaxKeyCharacters = 255;
 constexpr std::size_t kTraceParentCharacters = 55;
-// Longer than any profile's deadline, which caps it; keeps the sum of times
-// far from the end of their range.
-constexpr std::int64_t kLongestTimeoutMs = 24 * 60 * 60 * 1000;
+// Above any profile's deadline, which is the effective limit; avoids overflow
+// when the timeout is added to a time.
+constexpr std::int64_t kMaxTimeoutMs = 24 * 60 * 60 * 1000;
 
-/// Why a request can't be taken, or nothing.
-struct Fault {
+/// Why a request is rejected.
+struct RequestError {
   ErrorKind kind;
   std::string detail;
 };
 
-std::optional<Fault> ReadTimeout(const HttpRequest& request,
-                                 Duration& timeout) {
+std::optional<RequestError> ReadTimeout(const HttpRequest& request,
+                                        Duration& timeout) {
   const std::string_view text = FindHeader(request.headers, "x-timeout-ms");
   if (text.empty()) {
     return std::nullopt;
@@ -45,12 +45,11 @@
   const bool valid = error == std::errc() && end == text.data() + text.size() &&
                      milliseconds > 0;
   if (!valid) {
-    return Fault{ErrorKind::kMalformedRequest,
-                 "x-timeout-ms: found '" + std::string(text) +
-                     "'; allowed: a whole number above 0"};
+    return RequestError{ErrorKind::kMalformedRequest,
+                        "x-timeout-ms: found '" + std::string(text) +
+                            "'; allowed: a whole number above 0"};
   }
-  timeout =
-      std::chrono::milliseconds(std::min(milliseconds, kLongestTimeoutMs));
+  timeout = std::chrono::milliseconds(std::min(milliseconds, kMaxTimeoutMs));
   return std::nullopt;
 }
 
@@ -58,21 +57,21 @@
   return std::ranges::all_of(text, [](char c) { return c > ' ' && c < 0x7f; });
 }
 
-/// The key goes on to backend servers in a header: a line break in it, which
-/// HTTP/2 lets through, would begin a header or a request of the caller's own
-/// making there. Visible characters only leave no such break.
-std::optional<Fault> CheckKey(std::string_view key) {
+/// The key is sent to backend servers in a header. HTTP/2 allows line breaks in
+/// a value, with which a caller could inject a header or a request there, so
+/// only visible ASCII characters are accepted.
+std::optional<RequestError> CheckKey(std::string_view key) {
   if (key.size() <= kMaxKeyCharacters && IsVisibleAscii(key)) {
     return std::nullopt;
   }
-  return Fault{ErrorKind::kMalformedRequest,
-               "idempotency-key: found " + std::to_string(key.size()) +
-                   " characters; allowed: 1 to " +
-                   std::to_string(kMaxKeyCharacters) +
-                   " visible ASCII characters"};
+  return RequestError{ErrorKind::kMalformedRequest,
+                      "idempotency-key: found " + std::to_string(key.size()) +
+                          " characters; allowed: 1 to " +
+                          std::to_string(kMaxKeyCharacters) +
+                          " visible ASCII characters"};
 }
 
-std::optional<Fault> CheckHeaderSize(const HttpHeaders& headers) {
+std::optional<RequestError> CheckHeaderSize(const HttpHeaders& headers) {
   std::size_t size = 0;
   for (const HttpHeader& header : headers) {
     size += header.name.size() + header.value.size();
@@ -80,14 +79,16 @@
   if (size <= kMaxHeaderBytes) {
     return std::nullopt;
   }
-  return Fault{ErrorKind::kHeadersTooLarge,
-               "the headers have " + std::to_string(size) +
-                   " bytes; allowed: " + std::to_string(kMaxHeaderBytes)};
+  return RequestError{
+      ErrorKind::kHeadersTooLarge,
+      "the headers have " + std::to_string(size) +
+          " bytes; allowed: " + std::to_string(kMaxHeaderBytes)};
 }
 
-/// A trace context as it goes on; anything else is left out, as its standard
-/// asks, and could break out of its header as a key could.
-std::string_view TraceParentOf(const HttpRequest& request) {
+/// Returns the trace context to propagate, or an empty string if it is invalid.
+/// The W3C Trace Context standard requires an invalid one to be ignored; it
+/// could also be used for header injection, see CheckKey().
+std::string_view ReadTraceParent(const HttpRequest& request) {
   const std::string_view text = FindHeader(request.headers, "traceparent");
   const bool valid =
       text.size() == kTraceParentCharacters &&
@@ -95,9 +96,11 @@
   return valid ? text : std::string_view();
 }
 
-/// Requests of one conversation share a prompt prefix, which an engine that
-/// served it before still has in its cache.
-std::uint64_t PrefixOf(const json& body) {
+/// Hashes the conversation id, or else the beginning of the prompt. Requests
+/// with the same hash probably share a prompt prefix, which the engine that
+/// served an earlier one may still have in its cache.
+/// @return 0 if the body has neither
+std::uint64_t HashPrefix(const json& body) {
   for (const char* field : {"conversation", "prompt"}) {
     if (!body.is_object() || !body.contains(field) ||
         !body[field].is_string()) {
@@ -111,25 +114,25 @@
   return 0;
 }
 
-/// Reads what the coordinator needs of a request.
-std::optional<Fault> ReadSubmission(HttpRequest& request,
-                                    const Caller& caller,
-                                    Submission& submission) {
-  if (auto fault = ReadTimeout(request, submission.timeout)) {
-    return fault;
+/// Parses and validates a request for the coordinator.
+std::optional<RequestError> ReadSubmission(HttpRequest& request,
+                                           const Caller& caller,
+                                           Submission& submission) {
+  if (auto request_error = ReadTimeout(request, submission.timeout)) {
+    return request_error;
   }
   submission.key = FindHeader(request.headers, "idempotency-key");
-  if (auto fault = CheckKey(submission.key)) {
-    return fault;
+  if (auto request_error = CheckKey(submission.key)) {
+    return request_error;
   }
   json body;
   try {
     body = json::parse(request.body);
   } catch (const json::exception& error) {
-    // Not parse_error alone: a number out of range is another kind, and an
-    // exception that leaves the handler ends the daemon.
-    return Fault{ErrorKind::kMalformedRequest,
-                 std::string("the body is not JSON: ") + error.what()};
+    // Not only parse_error: a number out of range throws another type, and an
+    // uncaught exception terminates the daemon.
+    return RequestError{ErrorKind::kMalformedRequest,
+                        std::string("the body is not JSON: ") + error.what()};
   }
   submission.service = request.path.substr(kServicePrefix.size());
   submission.organisation = caller.organisation;
@@ -138,16 +141,16 @@
   submission.body_digest = Sha256Hex(request.body);
   submission.fingerprint =
       Fingerprint{FastHash(submission.service + "\n" + request.body)};
-  submission.prefix = PrefixOf(body);
+  submission.prefix = HashPrefix(body);
   submission.body = std::move(request.body);
   submission.wants_stream =
       FindHeader(request.headers, "accept") == kEventStream;
-  submission.trace_parent = TraceParentOf(request);
+  submission.trace_parent = ReadTraceParent(request);
   return std::nullopt;
 }
 
-/// One line for each request; neither its key nor its body is in it.
-void LogFinish(const FinishRequest& finish, std::string_view request_id) {
+/// Logs one line for each request; contains neither its key nor its body.
+void LogRequest(const FinishRequest& finish, std::string_view request_id) {
   std::uint32_t attempts = 0;
   for (const StageReport& stage : finish.stages) {
     attempts += stage.attempts;
@@ -219,12 +222,12 @@
                      Coordinator& coordinator,
                      CallerTable callers,
                      std::string id_prefix,
-                     std::function<void()> touched)
+                     std::function<void()> request_advance)
     : loop_(loop),
       coordinator_(coordinator),
       callers_(std::move(callers)),
       id_prefix_(std::move(id_prefix)),
-      touched_(std::move(touched)) {}
+      request_advance_(std::move(request_advance)) {}
 
 const Caller* CallerApi::Authenticate(const HttpRequest& request) const {
   const std::string_view header = FindHeader(request.headers, "authorization");
@@ -239,11 +242,12 @@
   return id_prefix_ + "-" + std::to_string(request.value);
 }
 
-void CallerApi::Refuse(ErrorKind kind,
+void CallerApi::Reject(ErrorKind kind,
                        std::string_view detail,
                        const HttpRequest& request,
                        HttpResponder& responder) {
-  const std::string id = id_prefix_ + "-refused-" + std::to_string(++refused_);
+  const std::string id =
+      id_prefix_ + "-refused-" + std::to_string(++rejected_count_);
   const bool has_key = !FindHeader(request.headers, "idempotency-key").empty();
   HttpResponse response = ProblemResponse(kind, detail, id, !has_key);
   if (kind == ErrorKind::kMethodNotAllowed) {
@@ -259,35 +263,35 @@
 
 void CallerApi::OnRequest(HttpRequest request,
                           std::shared_ptr<HttpResponder> responder) {
-  const auto refuse = [&](ErrorKind kind, std::string_view detail) {
-    Refuse(kind, detail, request, *responder);
+  const auto reject = [&](ErrorKind kind, std::string_view detail) {
+    Reject(kind, detail, request, *responder);
   };
   if (request.over_limit) {
-    refuse(ErrorKind::kTooManyConnections,
-           "this connection is one more than the daemon takes");
+    reject(ErrorKind::kTooManyConnections,
+           "the connection exceeds the daemon's limit");
     return;
   }
-  if (const auto fault = CheckHeaderSize(request.headers)) {
-    refuse(fault->kind, fault->detail);
+  if (const auto request_error = CheckHeaderSize(request.headers)) {
+    reject(request_error->kind, request_error->detail);
     return;
   }
   if (!request.path.starts_with(kServicePrefix)) {
-    refuse(ErrorKind::kUnknownService, "no path '" + request.path + "'");
+    reject(ErrorKind::kUnknownService, "unknown path '" + request.path + "'");
     return;
   }
   if (request.method != "POST") {
-    refuse(ErrorKind::kMethodNotAllowed,
+    reject(ErrorKind::kMethodNotAllowed,
            request.method + " on " + request.path + "; POST is allowed");
     return;
   }
   const Caller* caller = Authenticate(request);
   if (caller == nullptr) {
-    refuse(ErrorKind::kUnauthorised, "the bearer key is not known");
+    reject(ErrorKind::kUnauthorised, "the bearer key is not known");
     return;
   }
   Submission submission;
-  if (const auto fault = ReadSubmission(request, *caller, submission)) {
-    refuse(fault->kind, fault->detail);
+  if (const auto request_error = ReadSubmission(request, *caller, submission)) {
+    reject(request_error->kind, request_error->detail);
     return;
   }
   Submit(std::move(submission), std::move(responder));
@@ -303,9 +307,9 @@
   reference.SetOnDisconnect([this, id] {
     exchanges_.erase(id);
     coordinator_.OnCallerGone(loop_.Now(), id);
-    touched_();
+    request_advance_();
   });
-  touched_();
+  request_advance_();
 }
 
 void CallerApi::Deliver(const DeliverChunk& chunk) {
@@ -326,7 +330,7 @@
 }
 
 void CallerApi::Finish(const FinishRequest& finish) {
-  LogFinish(finish, PublicId(finish.request));
+  LogRequest(finish, PublicId(finish.request));
   const auto found = exchanges_.find(finish.request);
   if (found == exchanges_.end()) {
     return;
--- a/packages/entry/src/operator_api.cc
+++ b/packages/entry/src/operator_api.cc
@@ -28,9 +28,9 @@
                   std::move(body)});
 }
 
-/// Reads an operator's change; `error` says what is wrong with it.
-std::optional<ConfigRevision> ChangeOf(const HttpRequest& request,
-                                       std::string& error) {
+/// Parses an operator's change; sets `error` if it is malformed.
+std::optional<ConfigRevision> ParseChange(const HttpRequest& request,
+                                          std::string& error) {
   ConfigRevision change;
   try {
     const json body = json::parse(request.body);
@@ -52,21 +52,21 @@
     return std::nullopt;
   }
   if (change.change_id.empty() || change.changes.empty()) {
-    error = "change_id and changes may not be empty";
+    error = "change_id and changes must not be empty";
     return std::nullopt;
   }
   return change;
 }
 
-/// What an operator needs to merge by hand: what stands there, and the own
-/// text.
-std::string BothSides(const ConfigApply& apply) {
+/// Describes a conflict with both versions of the document, so that the
+/// operator can merge them.
+std::string DescribeConflict(const ConfigApply& apply) {
   const auto text = [](const std::string& body) {
     return body.empty() ? std::string("deleted") : body;
   };
   return std::string(DocumentKindName(apply.conflicting().first)) + " '" +
          apply.conflicting().second +
-         "' was changed meanwhile; in force since revision " +
+         "' was modified concurrently; in force since revision " +
          std::to_string(apply.theirs().revision) + ": " +
          text(apply.theirs().body) + "; yours: " + text(apply.ours());
 }
@@ -84,14 +84,14 @@
   return CheckReferences("in force", documents);
 }
 
-/// Why a change can't be put in force; empty if it can. A body that no daemon
-/// can read would stand in the log for good, and its service would be gone
-/// without a word.
-std::string InvalidityOf(const ConfigRevision& change,
-                         const Documents& present) {
+/// Returns why a change is invalid; empty if it is valid. A body that no daemon
+/// can parse would stay in the log, and its service would disappear without an
+/// error message.
+std::string FindProblem(const ConfigRevision& change,
+                        const Documents& current) {
   return leaf::try_handle_all(
       [&]() -> leaf::result<std::string> {
-        BOOST_LEAF_CHECK(CheckChange(change, present));
+        BOOST_LEAF_CHECK(CheckChange(change, current));
         return std::string();
       },
       [](const SchemaError& error) { return error.Text(); },
@@ -100,13 +100,13 @@
 
 }  // namespace
 
-struct OperatorApi::RouteRow {
+struct OperatorApi::RouteEntry {
   std::string_view method;
   std::string_view path;
   Route route;
 };
 
-const OperatorApi::RouteRow OperatorApi::kRoutes[] = {
+const OperatorApi::RouteEntry OperatorApi::kRoutes[] = {
     {"GET", "/healthz", &OperatorApi::Health},
     {"GET", "/readyz", &OperatorApi::Readiness},
     {"GET", "/metrics", &OperatorApi::Metrics},
@@ -121,13 +121,13 @@
 void OperatorApi::OnRequest(const HttpRequest& request,
                             const std::shared_ptr<HttpResponder>& responder) {
   bool path_known = false;
-  for (const RouteRow& row : kRoutes) {
-    if (row.path != request.path) {
+  for (const RouteEntry& entry : kRoutes) {
+    if (entry.path != request.path) {
       continue;
     }
     path_known = true;
-    if (row.method == request.method) {
-      (this->*row.route)(request, responder);
+    if (entry.method == request.method) {
+      (this->*entry.route)(request, responder);
       return;
     }
   }
@@ -144,7 +144,7 @@
 
 void OperatorApi::Readiness(const HttpRequest& /*request*/,
                             const std::shared_ptr<HttpResponder>& responder) {
-  const bool ready = handler_.Ready();
+  const bool ready = handler_.IsReady();
   SendText(*responder, ready ? 200 : kUnavailable,
            ready ? "ready\n" : "not ready\n");
 }
@@ -161,7 +161,7 @@
 
 void OperatorApi::Documents(const HttpRequest& /*request*/,
                             const std::shared_ptr<HttpResponder>& responder) {
-  SendJson(*responder, 200, handler_.DocumentsInForce());
+  SendJson(*responder, 200, handler_.ListDocuments());
 }
 
 void OperatorApi::History(const HttpRequest& /*request*/,
@@ -177,12 +177,12 @@
 void OperatorApi::Apply(const HttpRequest& request,
                         const std::shared_ptr<HttpResponder>& responder) {
   std::string error;
-  std::optional<ConfigRevision> change = ChangeOf(request, error);
+  std::optional<ConfigRevision> change = ParseChange(request, error);
   if (!change.has_value()) {
     responder->Send(ProblemResponse(ErrorKind::kMalformedRequest, error, "-"));
     return;
   }
-  error = InvalidityOf(*change, handler_.PresentDocuments());
+  error = FindProblem(*change, handler_.CurrentDocuments());
   if (!error.empty()) {
     responder->Send(ProblemResponse(ErrorKind::kInvalidSettings, error, "-"));
     return;
@@ -197,7 +197,7 @@
         return;
       case ConfigApply::State::kConflict:
         responder->Send(ProblemResponse(ErrorKind::kRevisionConflict,
-                                        BothSides(apply), id));
+                                        DescribeConflict(apply), id));
         return;
       case ConfigApply::State::kInvalid:
         responder->Send(
@@ -206,7 +206,7 @@
       default:
         responder->Send(ProblemResponse(
             ErrorKind::kPlatformUnreachable,
-            "the change may or may not stand; apply it again with the same id",
+            "the outcome is unknown; apply the change again with the same id",
             id));
     }
   });
