--- a/loadtool/load_result.h
+++ b/loadtool/load_result.h
@@ -12,38 +12,38 @@
 
 namespace gentianroute::load {
 
-/// @brief What one request came to.
-struct Outcome {
+/// @brief The outcome of one request.
+struct RequestOutcome {
   std::string service;
-  int status = 0;    ///< 0: no whole answer
-  std::string kind;  ///< of the problem body; empty for an answer
-  Duration took{0};
-  Duration first_token{0};        ///< zero: not streamed
-  std::vector<Duration> between;  ///< between the tokens of a stream
-  bool attained = false;          ///< answered whole within its deadline
-  std::int64_t cost = 0;          ///< micro-euros
-  std::string server_timing;      ///< as the daemon sent it
+  int status = 0;                   ///< 0: no complete response
+  std::string error_kind;           ///< from the error body; empty if answered
+  Duration latency{0};              ///< until the response's end
+  Duration first_token_latency{0};  ///< zero: no stream
+  std::vector<Duration> token_intervals;  ///< between the tokens of a stream
+  bool attained = false;                  ///< complete within its deadline
+  std::int64_t cost_micros = 0;           ///< micro-euros
+  std::string server_timing;              ///< header as received
 };
 
 /// @brief Time and cost of one stage in a Server-Timing header.
 struct StageTiming {
   std::string stage;
   double milliseconds = 0;
-  std::int64_t cost = 0;  ///< micro-euros
+  std::int64_t cost_micros = 0;  ///< micro-euros
 };
 
-/// @brief Reads the Server-Timing header of a daemon's answer.
-/// @return the stages in order; parts that can't be read are left out
+/// @brief Parses the Server-Timing header of a daemon's response.
+/// @return the stages in order; malformed parts are left out
 std::vector<StageTiming> ParseServerTiming(std::string_view header);
 
-/// @brief Collects outcomes of one run, per service.
+/// @brief Collects the outcomes of one run per service.
 class LoadResult {
  public:
-  void Add(const Outcome& outcome);
+  void Add(const RequestOutcome& outcome);
 
-  /// @brief Everything, as JSON: see docs/MEASUREMENTS.md.
+  /// @brief All results as JSON; docs/MEASUREMENTS.md describes the fields.
   nlohmann::json ToJson() const;
-  /// @brief The same for a terminal.
+  /// @brief All results as text.
   std::string ToText() const;
 
  private:
@@ -51,22 +51,24 @@
     std::uint64_t sent = 0;
     std::uint64_t answered = 0;
     std::uint64_t attained = 0;
-    std::int64_t cost = 0;
-    std::vector<double> milliseconds;
-    std::vector<double> first_token;
-    std::vector<double> between;
-    std::map<std::string, std::uint64_t> kinds;
-    std::map<std::string, std::int64_t> stage_cost;
-    std::map<std::string, std::vector<double>> stage_milliseconds;
+    std::int64_t cost_micros = 0;
+    std::vector<double> latencies_ms;
+    std::vector<double> first_token_latencies_ms;
+    std::vector<double> token_intervals_ms;
+    std::map<std::string, std::uint64_t> errors_by_kind;
+    std::map<std::string, std::int64_t> stage_cost_micros;
+    std::map<std::string, std::vector<double>> stage_latencies_ms;
   };
 
-  static nlohmann::json Describe(const Service& service);
+  static nlohmann::json ServiceJson(const Service& service);
 
   std::map<std::string, Service> services_;
 };
 
-/// @brief A quantile by the nearest-rank method.
-/// @param values in any order; 0 if there are none
+/// @brief Computes a quantile by the nearest-rank method.
+/// @param values in any order
+/// @param fraction from 0 to 1
+/// @return 0 if there are no values
 double Quantile(std::vector<double> values, double fraction);
 
 }  // namespace gentianroute::load
--- a/standins/platform.h
+++ b/standins/platform.h
@@ -14,8 +14,8 @@
 
 namespace gentianroute::standin {
 
-/// @brief Stands in for the platform: tables with conditional writes, objects
-/// and the host list, all in memory. The protocol is in docs/PLATFORM.md.
+/// @brief Stand-in for the platform: tables with conditional writes, objects
+/// and the host list, all in memory. docs/PLATFORM.md describes the protocol.
 class Platform {
  public:
   Platform(EventLoop& loop, std::uint16_t port);
@@ -26,32 +26,32 @@
     nlohmann::json value;
     std::uint64_t version = 0;
   };
-  /// What callers sent and were answered since the start, without the
-  /// headers that the HTTP library adds.
+  /// Bytes of requests and responses since the start, without the headers that
+  /// the HTTP library adds.
   struct Traffic {
     std::uint64_t requests = 0;
     std::uint64_t bytes_in = 0;
     std::uint64_t bytes_out = 0;
-    std::uint64_t whole_lists = 0;  ///< host lists sent with their hosts
+    std::uint64_t whole_lists = 0;  ///< host lists sent in full
   };
   using RowKey = std::pair<std::string, std::string>;
 
   void OnRequest(const HttpRequest& request,
                  const std::shared_ptr<HttpResponder>& responder);
-  HttpResponse Answer(const HttpRequest& request);
-  HttpResponse Transact(const nlohmann::json& body);
-  HttpResponse Read(const nlohmann::json& body) const;
-  HttpResponse Object(const HttpRequest& request);
-  HttpResponse ListHosts(const HttpRequest& request) const;
-  void Count(const HttpRequest& request, const HttpResponse& response);
-  nlohmann::json Describe(const RowKey& key) const;
+  HttpResponse HandleCall(const HttpRequest& request);
+  HttpResponse HandleTransact(const nlohmann::json& body);
+  HttpResponse HandleRead(const nlohmann::json& body) const;
+  HttpResponse HandleObject(const HttpRequest& request);
+  HttpResponse HandleListHosts(const HttpRequest& request) const;
+  void CountTraffic(const HttpRequest& request, const HttpResponse& response);
+  nlohmann::json DescribeRow(const RowKey& key) const;
 
   EventLoop& loop_;
   Faults faults_;
   std::map<RowKey, Row> rows_;
   std::map<std::string, std::string> objects_;
   nlohmann::json hosts_ = nlohmann::json::array();
-  std::uint64_t hosts_version_ = 1;
+  std::uint64_t hosts_version_ = 1;  ///< the entity tag of the host list
   Traffic traffic_;
   std::uint64_t next_version_ = 1;
   HttpServer server_;
