--- a/packages/decision/tests/crashes_test.cc
+++ b/packages/decision/tests/crashes_test.cc
@@ -66,7 +66,7 @@
 // One of twelve calls on a server crashes it. The other eleven, more than the
 // retry budget covers, must be answered. The request that crashes servers fails
 // after two crashes, and its resend is refused.
-Test(crashes, one_guilty_in_a_batch_costs_two_servers_and_no_neighbour) {
+Test(crashes, crashing_request_in_a_batch_crashes_two_servers_and_fails_alone) {
   Bench bench(Encoders(4, 12));
   // Only one server is up at first, so all twelve run there.
   bench.List(Encoders(1, 12));
@@ -91,7 +91,7 @@
 // Two requests of a batch crash servers. Each suspect is retried on a server
 // without another suspect, so each second crash identifies one of them: three
 // crashes in all, and both are quarantined.
-Test(crashes, two_guilty_in_a_batch_cost_three_servers) {
+Test(crashes, two_crashing_requests_in_a_batch_crash_three_servers) {
   Bench bench(Encoders(4, 6));
   bench.List(Encoders(1, 6));
   std::vector<RequestId> innocent;
@@ -113,7 +113,7 @@
 // The caller resends a request that is crashing servers. Suspects with the same
 // fingerprint must not run in parallel; once one is quarantined, the other is
 // refused without another crash.
-Test(crashes, twins_of_a_guilty_request_are_not_run_side_by_side) {
+Test(crashes, duplicates_of_a_crashing_request_do_not_run_in_parallel) {
   Bench bench(Encoders(4, 4));
   const RequestId first = bench.Submit(SubmissionOf("lookups", "crashing"));
   bench.Write(bench.starts.at(0).attempt);
@@ -166,7 +166,7 @@
 
 // A suspect waits for a request with the same fingerprint to end. When that one
 // ends, the suspect must start at once, not at its deadline.
-Test(crashes, suspect_held_back_goes_when_its_twin_in_another_pool_is_done) {
+Test(crashes, held_suspect_runs_when_its_duplicate_in_another_pool_ends) {
   Bench bench({HostOf("e1", "encode"), HostOf("e2", "encode")});
   const RequestId first = bench.Submit(SubmissionOf("lookups", "x"));
   bench.Write(bench.starts.at(0).attempt);
@@ -197,7 +197,7 @@
 
 // A suspect shares a server with a new request that crashes it. This crash must
 // not quarantine the suspect, which is retried and answered.
-Test(crashes, suspect_hit_by_another_ones_crash_is_not_quarantined) {
+Test(crashes, suspect_in_a_crash_caused_by_another_request_is_not_quarantined) {
   Bench bench(Encoders(1, 2));
   const RequestId innocent = bench.Submit(SubmissionOf("lookups", "innocent"));
   bench.Write(bench.starts.at(0).attempt);
@@ -237,7 +237,7 @@
 
 // One of two calls on a server is reset and the other is answered afterwards,
 // so the server has not crashed. The suspicion must be cleared.
-Test(crashes, neighbour_that_goes_on_clears_a_broken_connection) {
+Test(crashes, continued_call_on_the_same_server_clears_a_broken_connection) {
   Bench bench(Encoders(1, 4));
   const Submission cut = SubmissionOf("lookups", "cut");
   bench.Submit(cut);
@@ -254,7 +254,7 @@
 // The second crash of a request is not confirmed yet: the request waits and a
 // resend is refused as kNoServer. Once the server is known to be down, the
 // request fails and further resends are refused as quarantined.
-Test(crashes, refused_connection_proves_a_crash) {
+Test(crashes, refused_connection_confirms_a_crash) {
   Bench bench(Encoders(3, 4));
   const RequestId id = bench.Submit(SubmissionOf("lookups", "crashing"));
   for (std::size_t i = 0; i < 2; ++i) {
@@ -330,7 +330,7 @@
 // While a server is reserved for a suspect, more requests arrive that rank
 // before it than one dispatch checks. The suspect must be checked first, or the
 // reserved server would stay idle.
-Test(crashes, drained_server_goes_to_the_suspect_before_a_long_line) {
+Test(crashes, drained_server_goes_to_the_suspect_before_a_long_queue) {
   Bench bench(Encoders(1, 1));
   const RequestId suspect = bench.Submit(SubmissionOf("lookups", "suspect"));
   bench.Write(bench.starts.at(0).attempt);
@@ -354,7 +354,7 @@
 // The server reserved for a suspect doesn't become idle. After half of its time
 // the suspect must run beside other calls, as must the request that avoided
 // it.
-Test(crashes, suspect_runs_beside_others_when_its_time_presses) {
+Test(crashes, suspect_runs_beside_others_when_its_deadline_is_near) {
   Bench bench(Encoders(1, 1));
   AddSingleStageService(bench, "patient", StageOf("encode"));
   const RequestId suspect = bench.Submit(SubmissionOf("lookups", "suspect"));
@@ -375,7 +375,7 @@
 
 // The only other server runs a call that must not be repeated. A crash would
 // leave its outcome unknown, so a suspect must never run beside it.
-Test(crashes, suspect_never_runs_beside_a_call_that_must_not_repeat) {
+Test(crashes, suspect_never_runs_beside_a_non_repeatable_call) {
   Bench bench({HostOf("e1", "encode", 2)});
   StageSpec order = StageOf("encode");
   order.repeatable = false;
@@ -397,7 +397,7 @@
 // A request with a single attempt runs beside a suspect, since there is no
 // other server, and the server crashes. The crash must not count as its
 // attempt.
-Test(crashes, crash_beside_a_suspect_uses_up_no_attempt) {
+Test(crashes, crash_beside_a_suspect_does_not_count_as_an_attempt) {
   Bench bench(Encoders(1, 2));
   StageSpec once = StageOf("encode");
   once.max_attempts = 1;
--- a/packages/decision/tests/pool_health_test.cc
+++ b/packages/decision/tests/pool_health_test.cc
@@ -27,7 +27,7 @@
 // waits until its deadline. Later ones whose objective is cost are rejected at
 // once as not run, before their first stage runs for nothing, except for a
 // periodic probe. When the pool recovers, all requests are admitted.
-Test(pool_health, newcomer_to_a_pool_that_answers_nobody_is_refused_at_once) {
+Test(pool_health, new_request_to_an_unresponsive_pool_is_refused_at_once) {
   Bench bench({HostOf("e1", "encode"), HostOf("e2", "encode")});
   bench.Submit(SubmissionOf("lookups", "first"));
   Refuse(bench, seconds(3));
--- a/packages/gateway/tests/store_follower_test.cc
+++ b/packages/gateway/tests/store_follower_test.cc
@@ -86,7 +86,7 @@
 
 // A read may return a version older than the copy, as happens after the store
 // has dropped its history. Applying it would restore an old configuration.
-Test(store_follower, older_copy_changes_nothing) {
+Test(store_follower, older_version_from_the_store_is_ignored) {
   FollowerFixture fixture;
   fixture.follower.Start();
   fixture.store.RespondWithRows({{"a", "new", 9, false}}, 9);
@@ -136,7 +136,7 @@
   cr_assert_eq(fixture.store.calls.size(), 1);
 }
 
-Test(store_follower, peer_gets_just_what_it_lacks) {
+Test(store_follower, peer_receives_only_the_rows_it_lacks) {
   FollowerFixture fixture;
   fixture.follower.Start();
   fixture.store.RespondWithRows({{"a", "", 4, false}, {"b", "", 5, false}}, 7);
