--- a/packages/schema/src/reference.cc
+++ b/packages/schema/src/reference.cc
@@ -20,21 +20,21 @@
 
 std::string TypeName(capnp::Type type) {
   if (type.isList()) {
-    return "list of " + TypeName(type.asList().getElementType()) + "s";
+    return "array of " + TypeName(type.asList().getElementType()) + "s";
   }
   if (type.isStruct()) {
     return "object";
   }
   if (type.isText()) {
-    return "text";
+    return "string";
   }
   if (type.isBool()) {
-    return "true or false";
+    return "boolean";
   }
   if (type.isEnum()) {
-    return "word";
+    return "enum";
   }
-  return type.isFloat64() ? "number" : "whole number";
+  return type.isFloat64() ? "number" : "integer";
 }
 
 bool IsCompound(capnp::Type type) {
@@ -62,7 +62,7 @@
     return "64 hexadecimal digits in lower case";
   }
   if (HasAnnotation(field, Annotation::kIpNumber)) {
-    return "an IPv4 number";
+    return "an IPv4 address";
   }
   if (type.isEnum()) {
     return EnumerantNames(type.asEnum());
