--- a/packages/schema/schema/profile.capnp
+++ b/packages/schema/schema/profile.capnp
@@ -13,28 +13,28 @@
 struct Stage {
   name @0 :Text
       $Constraint.required
-      $Constraint.about("Name, unique in its profile; the key of its result and the label of its metrics.");
+      $Constraint.about("Name, unique within the profile; the key of the result and the label of the metrics.");
   pool @1 :Text
       $Constraint.required
-      $Constraint.about("Pool of backend servers that runs it.");
+      $Constraint.about("Pool of backend servers that runs the stage.");
   streams @2 :Bool = false
-      $Constraint.about("Whether it is a model engine that answers token by token.");
+      $Constraint.about("Whether the stage is a model engine that streams its answer by token.");
   repeatable @3 :Bool = true
-      $Constraint.about("False for work that must run at most once, such as an order.");
+      $Constraint.about("Whether the stage may run more than once; false for work such as an order.");
   deduplicatesByKey @4 :Bool = false
-      $Constraint.about("Whether the backend server recognises the idempotency key itself.");
+      $Constraint.about("Whether the backend server deduplicates requests by idempotency key.");
   firstByteTimeoutMs @5 :UInt32 = 1000
       $Constraint.min(1)
       $Constraint.max(600000)
-      $Constraint.about("Longest silence before the first byte, in milliseconds.");
+      $Constraint.about("Timeout for the first byte of the response, in milliseconds.");
   maxAttempts @6 :UInt32 = 3
       $Constraint.min(1)
       $Constraint.max(10)
-      $Constraint.about("Most calls for one request; a stage that may not repeat has one, unless deduplicatesByKey.");
+      $Constraint.about("Maximum number of calls for one request; always 1 if repeatable is false, unless deduplicatesByKey is true.");
   hedgeAfterMs @7 :UInt32 = 0
       $Constraint.min(0)
       $Constraint.max(600000)
-      $Constraint.about("Time after which a second call starts beside the first, in milliseconds; 0 for never.");
+      $Constraint.about("Delay before a second, parallel call (hedge), in milliseconds; 0 disables hedging.");
   costPerCallMicros @8 :UInt32 = 0
       $Constraint.min(0)
       $Constraint.max(1000000000)
@@ -42,37 +42,37 @@
   costPerUnitMicros @9 :UInt32 = 0
       $Constraint.min(0)
       $Constraint.max(1000000000)
-      $Constraint.about("Price of one unit that the answer reports, in micro-euros.");
+      $Constraint.about("Price of one unit reported by the response, in micro-euros.");
   expectedMs @10 :UInt32 = 50
       $Constraint.min(1)
       $Constraint.max(600000)
-      $Constraint.about("Usual duration, in milliseconds, used before anything is measured.");
+      $Constraint.about("Expected duration, in milliseconds, used until measurements are available.");
 }
 
 struct Profile {
   name @0 :Text
       $Constraint.required
-      $Constraint.about("Name that services pick it by.");
+      $Constraint.about("Name that services refer to.");
   objective @1 :Objective = attainment
-      $Constraint.about("What goes first: attainment of the deadline, or cost.");
+      $Constraint.about("Primary objective: meeting the deadline (attainment) or cost.");
   deadlineMs @2 :UInt32 = 6000
       $Constraint.min(1)
       $Constraint.max(600000)
-      $Constraint.about("Longest time to a whole answer, in milliseconds; a caller may ask for less.");
+      $Constraint.about("Maximum time until the answer is complete, in milliseconds; a caller may request less.");
   stages @3 :List(Stage)
       $Constraint.required
-      $Constraint.about("Stages in the order in which they run.");
+      $Constraint.about("Stages, in execution order.");
   crossRegion @4 :Bool = true
-      $Constraint.about("Whether a stage may run in another region.");
+      $Constraint.about("Whether stages may run in another region.");
 }
 
 struct Service {
   name @0 :Text
       $Constraint.required
-      $Constraint.about("Name in the path that callers post to.");
+      $Constraint.about("Name in the URL path of the service.");
   profile @1 :Text
       $Constraint.required
-      $Constraint.about("Profile that it runs under.");
+      $Constraint.about("Profile of the service.");
 }
 
 struct EngineGroup {
@@ -80,31 +80,31 @@
   # others.
   model @0 :Text
       $Constraint.required
-      $Constraint.about("Model that they load.");
+      $Constraint.about("Model to load.");
   version @1 :Text
       $Constraint.about("Version of the model.");
   adapters @2 :List(Text)
-      $Constraint.about("Adapters that they load beside it.");
+      $Constraint.about("Adapters to load with the model.");
   role @3 :Text
-      $Constraint.about("Role, as the engines call it, such as prefill.");
+      $Constraint.about("Role as named by the engine, such as prefill.");
   count @4 :UInt32 = 0
       $Constraint.min(0)
       $Constraint.max(100000)
-      $Constraint.about("How many engines of the pool, beside those that are named.");
+      $Constraint.about("Number of engines of the pool in the group, in addition to those listed in servers.");
   servers @5 :List(Text)
-      $Constraint.about("Engines that are in the group by name.");
+      $Constraint.about("Names of engines that belong to the group.");
 }
 
 struct Pool {
   name @0 :Text
       $Constraint.required
-      $Constraint.about("Name, as in the platform's host list.");
+      $Constraint.about("Name as in the platform's host list.");
   kind @1 :Kind = service
-      $Constraint.about("Plain services, or model engines that take orders.");
+      $Constraint.about("Kind of backend server: a plain service, or a model engine that accepts orders.");
   fenced @2 :Bool = false
-      $Constraint.about("Whether its engines refuse an order with an old fencing number.");
+      $Constraint.about("Whether the engines reject orders with an outdated fencing number.");
   engines @3 :List(EngineGroup)
-      $Constraint.about("What its engines should run; none: no orders are sent.");
+      $Constraint.about("Models that the engines should run; if empty, no orders are sent.");
 
   enum Kind {
     service @0;
--- a/packages/schema/src/reference.cc
+++ b/packages/schema/src/reference.cc
@@ -32,7 +32,7 @@
     return "boolean";
   }
   if (type.isEnum()) {
-    return "enum";
+    return "word";
   }
   return type.isFloat64() ? "number" : "integer";
 }
