--- a/packages/gateway/include/gentianroute/gateway/cluster.h
+++ b/packages/gateway/include/gentianroute/gateway/cluster.h
@@ -41,7 +41,7 @@
                              LoadReport load) = 0;
   virtual void OnHeartbeat(schema::Beat::Reader heartbeat) = 0;
   /// @brief A peer was lost: its heartbeats stopped, or it refuses connections.
-  virtual void OnPeerGone(std::string_view peer) = 0;
+  virtual void OnPeerLost(std::string_view peer) = 0;
   /// @brief Runs a group for a peer; `done` is called once, unless the returned
   /// object is destroyed before.
   virtual std::unique_ptr<GroupHandle> RunGroup(std::string_view service,
--- a/packages/gateway/include/gentianroute/gateway/detail/gateway_impl.h
+++ b/packages/gateway/include/gentianroute/gateway/detail/gateway_impl.h
@@ -58,12 +58,12 @@
         deployment_(loop,
                     store,
                     StoreTable::kDeployment,
-                    settings_.max_change_delay,
+                    settings_.max_propagation_time,
                     DeploymentListener()),
         server_rows_(loop,
                      store,
                      StoreTable::kServers,
-                     settings_.max_change_delay,
+                     settings_.max_propagation_time,
                      ServersListener()),
         cluster_(loop, settings_, store, *this),
         releaser_(loop, client, translator),
@@ -112,7 +112,7 @@
   // ClusterHandler: messages and requests from peers.
   void FillHeartbeat(schema::Beat::Builder heartbeat, LoadReport load) override;
   void OnHeartbeat(schema::Beat::Reader heartbeat) override;
-  void OnPeerGone(std::string_view peer) override;
+  void OnPeerLost(std::string_view peer) override;
   std::unique_ptr<GroupHandle> RunGroup(std::string_view service,
                                         std::string_view data_centre,
                                         routing::StageGroup group,
--- a/packages/gateway/include/gentianroute/gateway/settings.h
+++ b/packages/gateway/include/gentianroute/gateway/settings.h
@@ -24,7 +24,7 @@
   Endpoint store;      ///< the platform's store
   Duration drain_grace = std::chrono::seconds(8);  ///< after the stop signal
   /// Maximum time until a change in the store takes effect in this daemon.
-  Duration max_change_delay = std::chrono::milliseconds(2500);
+  Duration max_propagation_time = std::chrono::milliseconds(2500);
   double processor_share = 1;  ///< number of cores that this daemon may use
   /// Maximum retries per request to a service, over all daemons.
   double retry_ratio = 0.2;
--- a/packages/gateway/include/gentianroute/gateway/stage_router.h
+++ b/packages/gateway/include/gentianroute/gateway/stage_router.h
@@ -75,7 +75,7 @@
   bool HasServers(const routing::StagePlan& plan) const;
 
   /// @brief Submits the groups of a lost daemon again.
-  void OnPeerGone(std::string_view peer);
+  void OnPeerLost(std::string_view peer);
 
  private:
   class RoutedGroup;
--- a/packages/gateway/src/cluster.cc
+++ b/packages/gateway/src/cluster.cc
@@ -81,14 +81,14 @@
     auto done = kj::newPromiseAndFulfiller<void>();
     auto fulfiller = std::make_shared<kj::Own<kj::PromiseFulfiller<void>>>(
         kj::mv(done.fulfiller));
-    std::unique_ptr<GroupHandle> hold = cluster_.handler_.RunGroup(
+    std::unique_ptr<GroupHandle> handle = cluster_.handler_.RunGroup(
         service, data_centre, ReadGroup(cluster_.loop_.Now(), group),
         [context, fulfiller](const GroupOutcome& outcome) mutable {
           WriteOutcome(outcome, context.getResults().initOutcome());
           (*fulfiller)->fulfill();
         });
     return done.promise.attach(
-        kj::heap<std::unique_ptr<GroupHandle>>(std::move(hold)));
+        kj::heap<std::unique_ptr<GroupHandle>>(std::move(handle)));
   }
 
   kj::Promise<void> release(ReleaseContext context) override {
@@ -298,7 +298,7 @@
 
 void Cluster::OnPeerLost(const std::string& peer) {
   calls_.Disconnect(peer);
-  handler_.OnPeerGone(peer);
+  handler_.OnPeerLost(peer);
 }
 
 void Cluster::SendUpdate(UpdateScope scope) {
--- a/packages/gateway/src/gateway_peers.cc
+++ b/packages/gateway/src/gateway_peers.cc
@@ -107,9 +107,9 @@
   FetchNewerRows();
 }
 
-void Gateway::Impl::OnPeerGone(std::string_view peer) {
+void Gateway::Impl::OnPeerLost(std::string_view peer) {
   RemovePeerLoads(peer);
-  stage_router_.OnPeerGone(peer);
+  stage_router_.OnPeerLost(peer);
 }
 
 void Gateway::Impl::RemovePeerLoads(std::string_view peer) {
--- a/packages/gateway/src/stage_router.cc
+++ b/packages/gateway/src/stage_router.cc
@@ -41,7 +41,7 @@
     all.erase(std::remove(all.begin(), all.end(), this), all.end());
   }
 
-  void OnPeerGone(std::string_view peer) {
+  void OnPeerLost(std::string_view peer) {
     if (scheduler_ == peer) {
       ResubmitLater();
     }
@@ -297,9 +297,9 @@
   return true;
 }
 
-void StageRouter::OnPeerGone(std::string_view peer) {
+void StageRouter::OnPeerLost(std::string_view peer) {
   for (RoutedGroup* group : std::vector<RoutedGroup*>(groups_)) {
-    group->OnPeerGone(peer);
+    group->OnPeerLost(peer);
   }
 }
 
