--- a/packages/decision/include/gentianroute/decision/config_apply.h
+++ b/packages/decision/include/gentianroute/decision/config_applier.h
@@ -1,5 +1,5 @@
-#ifndef GENTIANROUTE_DECISION_CONFIG_APPLY_H_
-#define GENTIANROUTE_DECISION_CONFIG_APPLY_H_
+#ifndef GENTIANROUTE_DECISION_CONFIG_APPLIER_H_
+#define GENTIANROUTE_DECISION_CONFIG_APPLIER_H_
 
 #include <cstdint>
 #include <optional>
@@ -20,7 +20,7 @@
 /// again, to any daemon and at any later time.
 ///
 /// A change without an id only reads the log and ends in kCaughtUp.
-class ConfigApply {
+class ConfigApplier {
  public:
   enum class State : std::uint8_t {
     kTransact,     ///< send transaction()
@@ -37,14 +37,14 @@
     ConfigRetention retention;
   };
 
-  ConfigApply(ConfigRevision change,
-              ConfigFollower& follower,
-              const ConfigCodec& codec)
-      : ConfigApply(Options{}, std::move(change), follower, codec) {}
-  ConfigApply(Options options,
-              ConfigRevision change,
-              ConfigFollower& follower,
-              const ConfigCodec& codec);
+  ConfigApplier(ConfigRevision change,
+                ConfigFollower& follower,
+                const ConfigCodec& codec)
+      : ConfigApplier(Options{}, std::move(change), follower, codec) {}
+  ConfigApplier(Options options,
+                ConfigRevision change,
+                ConfigFollower& follower,
+                const ConfigCodec& codec);
 
   State state() const { return state_; }
   const TableTransaction& transaction() const { return transaction_; }
@@ -100,4 +100,4 @@
 
 }  // namespace gentianroute
 
-#endif  // GENTIANROUTE_DECISION_CONFIG_APPLY_H_
+#endif  // GENTIANROUTE_DECISION_CONFIG_APPLIER_H_
--- a/packages/decision/include/gentianroute/decision/leaving_news.h
+++ b/packages/decision/include/gentianroute/decision/leaving_server_gossip.h
@@ -1,5 +1,5 @@
-#ifndef GENTIANROUTE_DECISION_LEAVING_NEWS_H_
-#define GENTIANROUTE_DECISION_LEAVING_NEWS_H_
+#ifndef GENTIANROUTE_DECISION_LEAVING_SERVER_GOSSIP_H_
+#define GENTIANROUTE_DECISION_LEAVING_SERVER_GOSSIP_H_
 
 #include <compare>
 #include <cstdint>
@@ -27,7 +27,7 @@
 /// directly. An entry is kept as long as a host list may still contain the
 /// incarnation, and removed when it has been absent from this daemon's list for
 /// `retention_period`; otherwise entries would accumulate for ever.
-class LeavingNews {
+class LeavingServerGossip {
  public:
   struct Options {
     std::size_t max_per_digest = 8;
@@ -38,8 +38,8 @@
     Duration retention_period = std::chrono::minutes(10);
   };
 
-  LeavingNews() : LeavingNews(Options{}) {}
-  explicit LeavingNews(Options options) : options_(options) {}
+  LeavingServerGossip() : LeavingServerGossip(Options{}) {}
+  explicit LeavingServerGossip(Options options) : options_(options) {}
 
   /// @return true if it is new and should be sent to peers at once
   bool Add(const LeavingServer& server);
@@ -74,4 +74,4 @@
 
 }  // namespace gentianroute
 
-#endif  // GENTIANROUTE_DECISION_LEAVING_NEWS_H_
+#endif  // GENTIANROUTE_DECISION_LEAVING_SERVER_GOSSIP_H_
--- a/packages/decision/src/config_apply.cc
+++ b/packages/decision/src/config_applier.cc
@@ -1,4 +1,4 @@
-#include "gentianroute/decision/config_apply.h"
+#include "gentianroute/decision/config_applier.h"
 
 #include <algorithm>
 #include <utility>
@@ -20,10 +20,10 @@
 
 }  // namespace
 
-ConfigApply::ConfigApply(Options options,
-                         ConfigRevision change,
-                         ConfigFollower& follower,
-                         const ConfigCodec& codec)
+ConfigApplier::ConfigApplier(Options options,
+                             ConfigRevision change,
+                             ConfigFollower& follower,
+                             const ConfigCodec& codec)
     : options_(options),
       change_(std::move(change)),
       follower_(follower),
@@ -31,7 +31,7 @@
   ReadLog();
 }
 
-void ConfigApply::ReadLog() {
+void ConfigApplier::ReadLog() {
   state_ = State::kRead;
   read_after_ = follower_.revision();
   reads_ = {Row(kConfigHeadKey), Row(kConfigSnapshotKey)};
@@ -47,7 +47,7 @@
   }
 }
 
-void ConfigApply::Retry() {
+void ConfigApplier::Retry() {
   if (++tries_ < options_.max_tries) {
     ReadLog();
     return;
@@ -55,11 +55,11 @@
   GiveUp();
 }
 
-void ConfigApply::GiveUp() {
+void ConfigApplier::GiveUp() {
   state_ = own_change_found_ ? State::kApplied : State::kUnreachable;
 }
 
-void ConfigApply::OnRead(const ReadResult& result) {
+void ConfigApplier::OnRead(const ReadResult& result) {
   if (!result.answered) {
     Retry();
     return;
@@ -96,7 +96,7 @@
   Propose();
 }
 
-void ConfigApply::CatchUp() {
+void ConfigApplier::CatchUp() {
   if (CanUseSnapshot()) {
     state_ = State::kGetObject;
     object_ = ConfigSnapshotObject(options_.retention, snapshot_revision_);
@@ -110,12 +110,12 @@
   Retry();
 }
 
-bool ConfigApply::CanUseSnapshot() const {
+bool ConfigApplier::CanUseSnapshot() const {
   return !object_failed_ &&
          snapshot_revision_ > follower_.revision() + kRevisionsPerRead;
 }
 
-void ConfigApply::OnObject(const std::optional<std::string>& content) {
+void ConfigApplier::OnObject(const std::optional<std::string>& content) {
   std::optional<ConfigSnapshot> snapshot;
   if (content.has_value()) {
     snapshot = codec_.DecodeSnapshot(*content);
@@ -125,7 +125,7 @@
   ReadLog();
 }
 
-void ConfigApply::ApplyRows(const ReadResult& result) {
+void ConfigApplier::ApplyRows(const ReadResult& result) {
   head_version_ = 0;
   head_revision_ = 0;
   std::vector<ConfigRevision> revisions;
@@ -154,7 +154,7 @@
   }
 }
 
-bool ConfigApply::DetectConflict() {
+bool ConfigApplier::DetectConflict() {
   for (const DocumentChange& change : change_.changes) {
     const auto present = follower_.documents().find(change.FullName());
     const bool exists = present != follower_.documents().end();
@@ -169,7 +169,7 @@
   return false;
 }
 
-bool ConfigApply::DetectProblem() {
+bool ConfigApplier::DetectProblem() {
   // The author validated the change against older documents. Together with
   // another author's change, both may be valid alone and invalid combined: one
   // deletes a pool while the other adds a stage that uses it, and requests of
@@ -185,7 +185,7 @@
   return !problem_.empty();
 }
 
-void ConfigApply::Propose() {
+void ConfigApplier::Propose() {
   if (++tries_ > options_.max_tries) {
     GiveUp();
     return;
@@ -204,7 +204,7 @@
   state_ = State::kTransact;
 }
 
-void ConfigApply::OnTransacted(const TransactResult& result) {
+void ConfigApplier::OnTransacted(const TransactResult& result) {
   if (result.status == TableStatus::kCommitted) {
     follower_.Apply(std::span(&change_, 1));
     state_ = State::kApplied;
--- a/packages/decision/src/leaving_news.cc
+++ b/packages/decision/src/leaving_server_gossip.cc
@@ -1,4 +1,4 @@
-#include "gentianroute/decision/leaving_news.h"
+#include "gentianroute/decision/leaving_server_gossip.h"
 
 #include <algorithm>
 #include <set>
@@ -6,7 +6,7 @@
 
 namespace gentianroute {
 
-bool LeavingNews::Add(const LeavingServer& server) {
+bool LeavingServerGossip::Add(const LeavingServer& server) {
   const auto [place, added] = entries_.try_emplace(server);
   if (added) {
     place->second.sequence = next_sequence_++;
@@ -14,7 +14,7 @@
   return added;
 }
 
-std::vector<LeavingServer> LeavingNews::OnHostList(
+std::vector<LeavingServer> LeavingServerGossip::OnHostList(
     TimePoint now,
     std::span<const HostRecord> hosts) {
   std::set<LeavingServer> listed;
@@ -38,7 +38,8 @@
   return forgotten;
 }
 
-bool LeavingNews::ShouldAnnounce(TimePoint now, const Entry& entry) const {
+bool LeavingServerGossip::ShouldAnnounce(TimePoint now,
+                                         const Entry& entry) const {
   if (entry.absent_since == kNever) {
     return true;
   }
@@ -49,7 +50,7 @@
          now - entry.absent_since < options_.announce_period;
 }
 
-std::vector<LeavingServer> LeavingNews::SelectForDigest(TimePoint now) {
+std::vector<LeavingServer> LeavingServerGossip::SelectForDigest(TimePoint now) {
   std::vector<std::pair<std::uint64_t, const LeavingServer*>> announced;
   for (const auto& [server, entry] : entries_) {
     if (ShouldAnnounce(now, entry)) {
--- a/packages/decision/tests/leaving_news_test.cc
+++ b/packages/decision/tests/leaving_server_gossip_test.cc
@@ -1,4 +1,4 @@
-#include "gentianroute/decision/leaving_news.h"
+#include "gentianroute/decision/leaving_server_gossip.h"
 
 #include <algorithm>
 #include <cstdio>
@@ -47,8 +47,9 @@
   }
   std::size_t CountMissing(std::size_t entries) const {
     return static_cast<std::size_t>(std::ranges::count_if(
-        daemons_,
-        [entries](const LeavingNews& news) { return news.size() < entries; }));
+        daemons_, [entries](const LeavingServerGossip& gossip) {
+          return gossip.size() < entries;
+        }));
   }
 
  private:
@@ -65,7 +66,7 @@
   }
 
   std::mt19937_64 rng_;
-  std::vector<LeavingNews> daemons_;
+  std::vector<LeavingServerGossip> daemons_;
   std::vector<int> immediate_exchanges_;
 };
 
@@ -73,7 +74,8 @@
 
 // One of 810 daemons learns that a server is leaving, while the host list still
 // contains it. The server gets new calls until the last daemon has learned it.
-Test(leaving_news, one_leaving_server_is_known_to_810_daemons_in_three_rounds) {
+Test(leaving_server_gossip,
+     one_leaving_server_is_known_to_810_daemons_in_three_rounds) {
   int max_rounds = 0;
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     GossipSimulation simulation(810, seed);
@@ -91,46 +93,46 @@
 // Hundreds of servers leave in one deployment. The digest must stay small, and
 // a daemon that was partitioned must still receive every entry within some
 // rounds.
-Test(leaving_news, many_leaving_servers_are_announced_in_rotation) {
-  LeavingNews news;
+Test(leaving_server_gossip, many_leaving_servers_are_announced_in_rotation) {
+  LeavingServerGossip gossip;
   for (int i = 0; i < 200; ++i) {
-    cr_assert(news.Add({"s" + std::to_string(i), 1}));
-    cr_assert(!news.Add({"s" + std::to_string(i), 1}));
+    cr_assert(gossip.Add({"s" + std::to_string(i), 1}));
+    cr_assert(!gossip.Add({"s" + std::to_string(i), 1}));
   }
-  std::set<LeavingServer> heard;
+  std::set<LeavingServer> announced;
   for (int round = 0; round < 50; ++round) {
-    const auto digest = news.SelectForDigest(At(0));
+    const auto digest = gossip.SelectForDigest(At(0));
     cr_assert_eq(digest.size(), 8);
-    heard.insert(digest.begin(), digest.end());
+    announced.insert(digest.begin(), digest.end());
   }
-  cr_assert_eq(heard.size(), 200);
+  cr_assert_eq(announced.size(), 200);
 }
 
 // The host list drops a leaving server, contains it again, then drops it for
 // good. If the entry were removed at the first gap, the server would get new
 // calls when it is listed again.
-Test(leaving_news, flapping_list_starts_the_time_anew) {
-  LeavingNews news;
+Test(leaving_server_gossip, flapping_list_starts_the_time_anew) {
+  LeavingServerGossip gossip;
   const std::vector<HostRecord> listed = {Listed("s", 1)};
   const std::vector<HostRecord> replaced = {Listed("s", 2)};
-  news.Add({"s", 1});
-  news.OnHostList(At(0), listed);
-  news.OnHostList(At(1), replaced);
-  news.OnHostList(At(9), listed);
-  cr_assert(news.OnHostList(At(12), replaced).empty());
-  cr_assert(news.OnHostList(At(21), replaced).empty());
-  cr_assert_eq(news.OnHostList(At(22), replaced).size(), 1);
-  cr_assert_eq(news.size(), 0);
+  gossip.Add({"s", 1});
+  gossip.OnHostList(At(0), listed);
+  gossip.OnHostList(At(1), replaced);
+  gossip.OnHostList(At(9), listed);
+  cr_assert(gossip.OnHostList(At(12), replaced).empty());
+  cr_assert(gossip.OnHostList(At(21), replaced).empty());
+  cr_assert_eq(gossip.OnHostList(At(22), replaced).size(), 1);
+  cr_assert_eq(gossip.size(), 0);
 }
 
 // Two daemons remove an entry at different times. The later one sends it to the
 // other again; if that one sent it on, the entry would circulate for ever.
-Test(leaving_news, entry_never_in_own_list_is_not_announced) {
-  LeavingNews news;
-  news.OnHostList(At(0), {});
-  news.Add({"s", 1});
-  news.OnHostList(At(1), {});
-  cr_assert(news.SelectForDigest(At(1)).empty());
-  cr_assert_eq(news.size(), 1);
-  cr_assert_eq(news.OnHostList(At(11), {}).size(), 1);
+Test(leaving_server_gossip, entry_never_in_own_list_is_not_announced) {
+  LeavingServerGossip gossip;
+  gossip.OnHostList(At(0), {});
+  gossip.Add({"s", 1});
+  gossip.OnHostList(At(1), {});
+  cr_assert(gossip.SelectForDigest(At(1)).empty());
+  cr_assert_eq(gossip.size(), 1);
+  cr_assert_eq(gossip.OnHostList(At(11), {}).size(), 1);
 }
--- a/packages/entry/include/gentianroute/entry/config_sync.h
+++ b/packages/entry/include/gentianroute/entry/config_sync.h
@@ -4,7 +4,7 @@
 #include <functional>
 #include <memory>
 
-#include "gentianroute/decision/config_apply.h"
+#include "gentianroute/decision/config_applier.h"
 #include "gentianroute/decision/config_follower.h"
 #include "gentianroute/decision/config_snapshotter.h"
 #include "gentianroute/platform/platform.h"
@@ -14,7 +14,7 @@
 /// @brief Reads the configuration log in the table service and appends to it.
 class ConfigSync {
  public:
-  using DoneCallback = std::function<void(const ConfigApply&)>;
+  using DoneCallback = std::function<void(const ConfigApplier&)>;
 
   /// @param on_changed called after a newer revision was applied
   ConfigSync(TableService& tables,
@@ -33,9 +33,9 @@
   void Apply(ConfigRevision change, const DoneCallback& done);
 
  private:
-  void Advance(const std::shared_ptr<ConfigApply>& apply,
+  void Advance(const std::shared_ptr<ConfigApplier>& applier,
                const DoneCallback& done);
-  void SnapshotIfDue(const ConfigApply& apply);
+  void SnapshotIfDue(const ConfigApplier& applier);
   void AdvanceSnapshot();
   void ReportChange();
 
--- a/packages/entry/include/gentianroute/entry/daemon.h
+++ b/packages/entry/include/gentianroute/entry/daemon.h
@@ -7,7 +7,7 @@
 
 #include "gentianroute/decision/config_follower.h"
 #include "gentianroute/decision/coordinator.h"
-#include "gentianroute/decision/leaving_news.h"
+#include "gentianroute/decision/leaving_server_gossip.h"
 #include "gentianroute/decision/poll_schedule.h"
 #include "gentianroute/entry/backend_calls.h"
 #include "gentianroute/entry/cache_sync.h"
@@ -101,7 +101,7 @@
   H2oHttpClient client_;
   HttpPlatform platform_;
   ServerTable servers_;
-  LeavingNews leaving_news_;
+  LeavingServerGossip leaving_server_gossip_;
   CacheSync cache_sync_;
   UsageLedger usage_;
   SuspectTable suspects_;
--- a/packages/entry/include/gentianroute/entry/peer_service.h
+++ b/packages/entry/include/gentianroute/entry/peer_service.h
@@ -12,7 +12,7 @@
 
 #include "gentianroute/decision/config_follower.h"
 #include "gentianroute/decision/coordinator.h"
-#include "gentianroute/decision/leaving_news.h"
+#include "gentianroute/decision/leaving_server_gossip.h"
 #include "gentianroute/decision/poll_schedule.h"
 #include "gentianroute/entry/peer_links.h"
 #include "gentianroute/entry/peer_revisions.h"
@@ -29,7 +29,7 @@
     schema::Settings::Reader settings;
     std::uint64_t incarnation;
     ServerTable& servers;
-    LeavingNews& leaving_news;
+    LeavingServerGossip& leaving_server_gossip;
     UsageLedger& usage;
     SuspectTable& suspects;
     ConfigFollower& follower;
--- a/packages/entry/src/config_sync.cc
+++ b/packages/entry/src/config_sync.cc
@@ -25,9 +25,9 @@
   polling_ = true;
   // A change without an id only reads the log.
   Apply(ConfigRevision{},
-        [this, done = std::move(done)](const ConfigApply& reader) {
+        [this, done = std::move(done)](const ConfigApplier& reader) {
           polling_ = false;
-          done(reader.state() == ConfigApply::State::kCaughtUp);
+          done(reader.state() == ConfigApplier::State::kCaughtUp);
         });
 }
 
@@ -39,47 +39,47 @@
 }
 
 void ConfigSync::Apply(ConfigRevision change, const DoneCallback& done) {
-  ConfigApply::Options options;
+  ConfigApplier::Options options;
   options.retention = retention_;
-  auto apply = std::make_shared<ConfigApply>(options, std::move(change),
-                                             follower_, codec_);
-  Advance(apply, done);
+  auto applier = std::make_shared<ConfigApplier>(options, std::move(change),
+                                                 follower_, codec_);
+  Advance(applier, done);
 }
 
-void ConfigSync::Advance(const std::shared_ptr<ConfigApply>& apply,
+void ConfigSync::Advance(const std::shared_ptr<ConfigApplier>& applier,
                          const DoneCallback& done) {
-  switch (apply->state()) {
-    case ConfigApply::State::kRead:
-      tables_.Read(apply->reads(),
-                   [this, apply, done](const ReadResult& result) {
-                     apply->OnRead(result);
-                     Advance(apply, done);
+  switch (applier->state()) {
+    case ConfigApplier::State::kRead:
+      tables_.Read(applier->reads(),
+                   [this, applier, done](const ReadResult& result) {
+                     applier->OnRead(result);
+                     Advance(applier, done);
                    });
       return;
-    case ConfigApply::State::kTransact:
-      tables_.Transact(apply->transaction(),
-                       [this, apply, done](const TransactResult& result) {
-                         apply->OnTransacted(result);
-                         Advance(apply, done);
+    case ConfigApplier::State::kTransact:
+      tables_.Transact(applier->transaction(),
+                       [this, applier, done](const TransactResult& result) {
+                         applier->OnTransacted(result);
+                         Advance(applier, done);
                        });
       return;
-    case ConfigApply::State::kGetObject:
-      objects_.Get(apply->object(),
-                   [this, apply, done](const ObjectResult& result) {
-                     apply->OnObject(result.content);
-                     Advance(apply, done);
+    case ConfigApplier::State::kGetObject:
+      objects_.Get(applier->object(),
+                   [this, applier, done](const ObjectResult& result) {
+                     applier->OnObject(result.content);
+                     Advance(applier, done);
                    });
       return;
     default:
       ReportChange();
-      SnapshotIfDue(*apply);
-      done(*apply);
+      SnapshotIfDue(*applier);
+      done(*applier);
   }
 }
 
-void ConfigSync::SnapshotIfDue(const ConfigApply& apply) {
-  const bool applied = apply.state() == ConfigApply::State::kApplied;
-  if (applied && snapshotter_.Begin(follower_, apply.revision())) {
+void ConfigSync::SnapshotIfDue(const ConfigApplier& applier) {
+  const bool applied = applier.state() == ConfigApplier::State::kApplied;
+  if (applied && snapshotter_.Begin(follower_, applier.revision())) {
     AdvanceSnapshot();
   }
 }
--- a/packages/entry/src/daemon.cc
+++ b/packages/entry/src/daemon.cc
@@ -76,8 +76,9 @@
       peer_revisions_(loop.Now()),
       peer_service_(
           loop,
-          {settings.get(), incarnation_, servers_, leaving_news_, usage_,
-           suspects_, follower_, poll_schedule_, peer_revisions_, coordinator_},
+          {settings.get(), incarnation_, servers_, leaving_server_gossip_,
+           usage_, suspects_, follower_, poll_schedule_, peer_revisions_,
+           coordinator_},
           [this] { OnConfigChanged(); },
           [this](const std::vector<HostRecord>& hosts) { ApplyHosts(hosts); },
           [this] { RequestAdvance(); }) {
@@ -253,7 +254,8 @@
   ApplyEntryHosts(entries);
   order_sync_.SetHosts(backends);
   servers_.ApplyHostList(loop_.Now(), backends);
-  for (const auto& removed : leaving_news_.OnHostList(loop_.Now(), backends)) {
+  for (const auto& removed :
+       leaving_server_gossip_.OnHostList(loop_.Now(), backends)) {
     servers_.RemoveLeaving(removed.server, removed.incarnation);
   }
   peer_service_.AnnounceLeaving();
--- a/packages/entry/src/operator_api.cc
+++ b/packages/entry/src/operator_api.cc
@@ -60,15 +60,15 @@
 
 /// Describes a conflict with both versions of the document, so that the
 /// operator can merge them.
-std::string DescribeConflict(const ConfigApply& apply) {
+std::string DescribeConflict(const ConfigApplier& applier) {
   const auto text = [](const std::string& body) {
     return body.empty() ? std::string("deleted") : body;
   };
-  return std::string(DocumentKindName(apply.conflicting().first)) + " '" +
-         apply.conflicting().second +
+  return std::string(DocumentKindName(applier.conflicting().first)) + " '" +
+         applier.conflicting().second +
          "' was modified concurrently; in force since revision " +
-         std::to_string(apply.theirs().revision) + ": " +
-         text(apply.theirs().body) + "; yours: " + text(apply.ours());
+         std::to_string(applier.theirs().revision) + ": " +
+         text(applier.theirs().body) + "; yours: " + text(applier.ours());
 }
 
 leaf::result<void> CheckChange(const ConfigRevision& change,
@@ -189,19 +189,20 @@
   }
   change->applied_at = loop_.WallTime();
   const std::string id = change->change_id;
-  handler_.Apply(std::move(*change), [responder, id](const ConfigApply& apply) {
-    switch (apply.state()) {
-      case ConfigApply::State::kApplied:
+  handler_.Apply(std::move(*change), [responder,
+                                      id](const ConfigApplier& applier) {
+    switch (applier.state()) {
+      case ConfigApplier::State::kApplied:
         SendJson(*responder, 200,
-                 {{"revision", apply.revision()}, {"change_id", id}});
+                 {{"revision", applier.revision()}, {"change_id", id}});
         return;
-      case ConfigApply::State::kConflict:
+      case ConfigApplier::State::kConflict:
         responder->Send(ProblemResponse(ErrorKind::kRevisionConflict,
-                                        DescribeConflict(apply), id));
+                                        DescribeConflict(applier), id));
         return;
-      case ConfigApply::State::kInvalid:
-        responder->Send(
-            ProblemResponse(ErrorKind::kInvalidSettings, apply.problem(), id));
+      case ConfigApplier::State::kInvalid:
+        responder->Send(ProblemResponse(ErrorKind::kInvalidSettings,
+                                        applier.problem(), id));
         return;
       default:
         responder->Send(ProblemResponse(
--- a/packages/entry/src/peer_service.cc
+++ b/packages/entry/src/peer_service.cc
@@ -37,7 +37,8 @@
 void PeerService::AnnounceLeaving() {
   bool added = false;
   for (const auto& [server, incarnation] : dependencies_.servers.leaving()) {
-    added = dependencies_.leaving_news.Add({server, incarnation}) || added;
+    added =
+        dependencies_.leaving_server_gossip.Add({server, incarnation}) || added;
   }
   if (added) {
     links_->SpreadRumour();
@@ -61,12 +62,13 @@
     heavy_list[i].setSubscriber(heavy[i].name.subscriber);
     heavy_list[i].setCost(heavy[i].cost);
   }
-  const std::vector<LeavingServer> news =
-      dependencies_.leaving_news.SelectForDigest(now);
-  auto leaving = digest.initLeaving(static_cast<unsigned>(news.size()));
+  const std::vector<LeavingServer> leaving_servers =
+      dependencies_.leaving_server_gossip.SelectForDigest(now);
+  auto leaving =
+      digest.initLeaving(static_cast<unsigned>(leaving_servers.size()));
   for (unsigned i = 0; i < leaving.size(); ++i) {
-    leaving[i].setServer(news[i].server);
-    leaving[i].setIncarnation(news[i].incarnation);
+    leaving[i].setServer(leaving_servers[i].server);
+    leaving[i].setIncarnation(leaving_servers[i].incarnation);
   }
   const auto quarantined = dependencies_.suspects.Quarantined(now);
   const std::size_t count =
--- a/packages/schema/tests/config_log_test.cc
+++ b/packages/schema/tests/config_log_test.cc
@@ -1,14 +1,14 @@
 #include <map>
 #include <string>
 
-#include "gentianroute/decision/config_apply.h"
+#include "gentianroute/decision/config_applier.h"
 #include "gentianroute/decision/config_snapshotter.h"
 #include "gentianroute/schema/declarations.h"
 
 #include <criterion/criterion.h>
 
 using namespace gentianroute;
-using State = ConfigApply::State;
+using State = ConfigApplier::State;
 
 namespace {
 
@@ -49,17 +49,17 @@
     return {TableStatus::kCommitted, {}, {}};
   }
 
-  void Finish(ConfigApply& apply) {
+  void Finish(ConfigApplier& applier) {
     for (int steps = 0; steps < 100; ++steps) {
-      if (apply.state() == State::kRead) {
-        apply.OnRead(Read(apply.reads()));
-      } else if (apply.state() == State::kTransact) {
-        apply.OnTransacted(Transact(apply.transaction()));
-      } else if (apply.state() == State::kGetObject) {
-        const auto found = objects.find(apply.object());
-        apply.OnObject(found == objects.end()
-                           ? std::nullopt
-                           : std::optional<std::string>(found->second));
+      if (applier.state() == State::kRead) {
+        applier.OnRead(Read(applier.reads()));
+      } else if (applier.state() == State::kTransact) {
+        applier.OnTransacted(Transact(applier.transaction()));
+      } else if (applier.state() == State::kGetObject) {
+        const auto found = objects.find(applier.object());
+        applier.OnObject(found == objects.end()
+                             ? std::nullopt
+                             : std::optional<std::string>(found->second));
       }
     }
   }
@@ -79,8 +79,8 @@
   }
 };
 
-ConfigApply::Options Options() {
-  ConfigApply::Options options;
+ConfigApplier::Options Options() {
+  ConfigApplier::Options options;
   options.retention = kRetention;
   return options;
 }
@@ -99,9 +99,9 @@
 State ApplyAt(Platform& platform,
               ConfigFollower& follower,
               ConfigRevision change) {
-  ConfigApply apply(Options(), std::move(change), follower, platform.codec);
-  platform.Finish(apply);
-  return apply.state();
+  ConfigApplier applier(Options(), std::move(change), follower, platform.codec);
+  platform.Finish(applier);
+  return applier.state();
 }
 
 /// Applies changes of one pool, one revision each, and writes the snapshots
@@ -132,19 +132,19 @@
   Platform platform;
   ConfigFollower first({2}, platform.codec);
   AddRevisions(platform, first, 1);
-  ConfigApply lost(Options(),
-                   Change("mine", DocumentKind::kProfile, "f", kProfile), first,
-                   platform.codec);
+  ConfigApplier lost(Options(),
+                     Change("mine", DocumentKind::kProfile, "f", kProfile),
+                     first, platform.codec);
   lost.OnRead(platform.Read(lost.reads()));
   platform.Transact(lost.transaction());
   ConfigFollower second({2}, platform.codec);
   second.Apply(ConfigSnapshot{2, {}});
-  ConfigApply again(Options(),
-                    Change("mine", DocumentKind::kProfile, "f", kProfile),
-                    second, platform.codec);
-  platform.Finish(again);
-  cr_assert(again.state() == State::kApplied);
-  cr_assert_eq(again.revision(), 2);
+  ConfigApplier retry(Options(),
+                      Change("mine", DocumentKind::kProfile, "f", kProfile),
+                      second, platform.codec);
+  platform.Finish(retry);
+  cr_assert(retry.state() == State::kApplied);
+  cr_assert_eq(retry.revision(), 2);
 }
 
 // A read of the log from before the daemon's own change took effect arrives
@@ -156,22 +156,22 @@
   Platform platform;
   ConfigFollower follower(platform.codec);
   const auto change = Change("mine", DocumentKind::kPool, "p", kPool);
-  ConfigApply apply(Options(), change, follower, platform.codec);
-  const ReadResult old = platform.Read(apply.reads());
+  ConfigApplier applier(Options(), change, follower, platform.codec);
+  const ReadResult old = platform.Read(applier.reads());
   ConfigFollower other(platform.codec);
   cr_assert(ApplyAt(platform, other, change) == State::kApplied);
   follower.Apply(other.After(0, 9));
-  apply.OnRead(old);
-  platform.Finish(apply);
-  cr_assert(apply.state() == State::kApplied);
+  applier.OnRead(old);
+  platform.Finish(applier);
+  cr_assert(applier.state() == State::kApplied);
 }
 
 Test(config_apply, concurrent_changes_of_different_documents_are_rebased) {
   Platform platform;
   ConfigFollower first(platform.codec);
   ConfigFollower second(platform.codec);
-  ConfigApply slow(Options(), Change("a", DocumentKind::kPool, "p", kPool),
-                   first, platform.codec);
+  ConfigApplier slow(Options(), Change("a", DocumentKind::kPool, "p", kPool),
+                     first, platform.codec);
   slow.OnRead(platform.Read(slow.reads()));
   cr_assert(ApplyAt(platform, second,
                     Change("b", DocumentKind::kPool, "q", R"({"name":"q"})")) ==
@@ -186,13 +186,14 @@
   ConfigFollower follower(platform.codec);
   AddRevisions(platform, follower, 2);
   const std::string mine = R"({"name":"p","fenced":true})";
-  ConfigApply apply(Options(), Change("a", DocumentKind::kPool, "p", mine, 1),
-                    follower, platform.codec);
-  platform.Finish(apply);
-  cr_assert(apply.state() == State::kConflict);
-  cr_assert(apply.ours() == mine);
-  cr_assert(apply.theirs().body == kPool);
-  cr_assert_eq(apply.theirs().revision, 2);
+  ConfigApplier applier(Options(),
+                        Change("a", DocumentKind::kPool, "p", mine, 1),
+                        follower, platform.codec);
+  platform.Finish(applier);
+  cr_assert(applier.state() == State::kConflict);
+  cr_assert(applier.ours() == mine);
+  cr_assert(applier.theirs().body == kPool);
+  cr_assert_eq(applier.theirs().revision, 2);
 }
 
 // One operator deletes a pool while another adds a profile that uses it. Each
@@ -203,8 +204,8 @@
   ConfigFollower first(platform.codec);
   AddRevisions(platform, first, 1);
   ConfigFollower second(platform.codec);
-  ConfigApply slow(Options(), Change("a", DocumentKind::kPool, "p", "", 1),
-                   first, platform.codec);
+  ConfigApplier slow(Options(), Change("a", DocumentKind::kPool, "p", "", 1),
+                     first, platform.codec);
   slow.OnRead(platform.Read(slow.reads()));
   cr_assert(slow.state() == State::kTransact);
   cr_assert(ApplyAt(platform, second,
@@ -221,7 +222,7 @@
   Platform platform;
   ConfigFollower follower(platform.codec);
   AddRevisions(platform, follower, 2);
-  ConfigApply poll(Options(), {}, follower, platform.codec);
+  ConfigApplier poll(Options(), {}, follower, platform.codec);
   cr_assert_eq(poll.reads().size(), 3);
   poll.OnRead(platform.Read(poll.reads()));
   cr_assert(poll.state() == State::kCaughtUp);
--- a/tests/random/random_config.cc
+++ b/tests/random/random_config.cc
@@ -119,7 +119,7 @@
   void SubmitRandomChange();
   void AttemptChange(const std::shared_ptr<OperatorChange>& operator_change);
   void OnAttemptDone(const std::shared_ptr<OperatorChange>& operator_change,
-                     const ConfigApply& apply);
+                     const ConfigApplier& apply);
   DocumentChange RandomChange(const Documents& seen);
 
   std::vector<Host> hosts_ = std::vector<Host>(kDaemons);
@@ -430,10 +430,11 @@
   const std::size_t index = simulator.Below(kDaemons);
   RunAt(index, hosts_[index].generation,
         [this, operator_change](SimulatedDaemon& daemon) {
-          daemon.sync.Apply(operator_change->change,
-                            [this, operator_change](const ConfigApply& apply) {
-                              OnAttemptDone(operator_change, apply);
-                            });
+          daemon.sync.Apply(
+              operator_change->change,
+              [this, operator_change](const ConfigApplier& apply) {
+                OnAttemptDone(operator_change, apply);
+              });
         });
   // Retries at another daemon, in case this one is killed or frozen.
   simulator.After(simulator.Between(8000, 60000),
@@ -442,21 +443,22 @@
 
 void ConfigSimulation::OnAttemptDone(
     const std::shared_ptr<OperatorChange>& operator_change,
-    const ConfigApply& apply) {
+    const ConfigApplier& apply) {
   --operator_change->pending_attempts;
   const bool in_log = store.IsApplied(operator_change->change.change_id);
   switch (apply.state()) {
-    case ConfigApply::State::kApplied:
+    case ConfigApplier::State::kApplied:
       Require(in_log, "a change that is reported as applied is in the log",
               simulator.now());
       applied += operator_change->settled ? 0 : 1;
       operator_change->settled = true;
       return;
-    case ConfigApply::State::kConflict:
-    case ConfigApply::State::kInvalid:
+    case ConfigApplier::State::kConflict:
+    case ConfigApplier::State::kInvalid:
       Require(!in_log, "a change that is rejected is not in the log",
               simulator.now());
-      ++(apply.state() == ConfigApply::State::kConflict ? conflicts : invalid);
+      ++(apply.state() == ConfigApplier::State::kConflict ? conflicts
+                                                          : invalid);
       operator_change->settled = true;
       return;
     default:
