--- a/apps/gentianctl/report_merge.cc
+++ b/apps/gentianctl/report_merge.cc
@@ -89,7 +89,7 @@
 }
 
 json MergeHeaviest(const std::vector<json>& reports) {
-  constexpr std::size_t kLongest = 20;
+  constexpr std::size_t kMaxEntries = 20;
   std::map<std::pair<std::string, std::string>, double> merged;
   for (const json& report : reports) {
     for (const json& usage : report.at("heaviest")) {
@@ -107,7 +107,7 @@
   std::ranges::stable_sort(list, [](const json& a, const json& b) {
     return a.at("cost") > b.at("cost");
   });
-  list.resize(std::min(list.size(), kLongest));
+  list.resize(std::min(list.size(), kMaxEntries));
   return list;
 }
 
@@ -165,8 +165,8 @@
 }
 
 std::string FormatNumber(const char* format, double value) {
-  constexpr std::size_t kLongest = 64;
-  std::array<char, kLongest> text{};
+  constexpr std::size_t kMaxLength = 64;
+  std::array<char, kMaxLength> text{};
   std::snprintf(text.data(), text.size(), format, value);
   return text.data();
 }
--- a/benchmarks/capacity/capacity_bench.cc
+++ b/benchmarks/capacity/capacity_bench.cc
@@ -237,7 +237,7 @@
       ledger.Advance(now);
       commit_operations(now);
       ledger.TakeResults();
-      ledger.Settle(now, token, ClaimState::kAnswered, 200, answer);
+      ledger.Complete(now, token, ClaimState::kAnswered, 200, answer);
       ledger.Advance(now);
       commit_operations(now);
     }
--- a/packages/decision/include/gentianroute/decision/claim_ledger.h
+++ b/packages/decision/include/gentianroute/decision/claim_ledger.h
@@ -68,11 +68,11 @@
 
   /// @brief Writes the outcome of a confirmed claim to its row, or releases it.
   /// @param state kAnswered or kNotRun
-  void Settle(TimePoint now,
-              std::string_view token,
-              ClaimState state,
-              std::uint16_t status,
-              std::string_view answer);
+  void Complete(TimePoint now,
+                std::string_view token,
+                ClaimState state,
+                std::uint16_t status,
+                std::string_view answer);
 
   /// @brief Drops a confirmed claim and leaves its row as claimed: the effect
   /// may have taken place, so the key must not be run again.
--- a/packages/decision/include/gentianroute/decision/coordinator.h
+++ b/packages/decision/include/gentianroute/decision/coordinator.h
@@ -127,10 +127,8 @@
   const Request* Find(RequestId request) const;
 
  private:
-  /// Interval at which a request is checked again that waits until a crash is
-  /// confirmed or ruled out.
-  static constexpr Duration kAccusedRetryInterval =
-      std::chrono::milliseconds(200);
+  /// How often a held request is checked again; see IsHeld().
+  static constexpr Duration kHeldRetryInterval = std::chrono::milliseconds(200);
 
   enum class TimerKind : std::uint8_t {
     kDeadline,
@@ -251,10 +249,10 @@
               std::string detail,
               std::string body,
               bool replayed);
-  void SettleClaim(TimePoint now,
-                   const Request& request,
-                   std::optional<ErrorKind> error,
-                   const std::string& body);
+  void CompleteClaim(TimePoint now,
+                     const Request& request,
+                     std::optional<ErrorKind> error,
+                     const std::string& body);
   void RecordOutcome(TimePoint now,
                      const std::string& token,
                      const JoinOutcome& outcome);
--- a/packages/decision/include/gentianroute/decision/fair_queue.h
+++ b/packages/decision/include/gentianroute/decision/fair_queue.h
@@ -130,7 +130,7 @@
                          const Predicate& can_start,
                          const Predicate& skip,
                          std::size_t& checks_left);
-  Waiter Take(std::list<Waiter>::iterator waiter);
+  Waiter RemoveWaiter(std::list<Waiter>::iterator waiter);
 
   UsageLedger& ledger_;
   QueueOrder order_;
--- a/packages/decision/include/gentianroute/decision/server_table.h
+++ b/packages/decision/include/gentianroute/decision/server_table.h
@@ -165,14 +165,14 @@
   ServerRef ChooseLeastReported(const Pool& pool,
                                 const Query& query,
                                 Rng& rng) const;
-  void ConsiderPrefixHolders(const Query& query, Candidate& best) const;
-  void ConsiderSample(const Tier& tier,
+  void EvaluatePrefixHolders(const Query& query, Candidate& best) const;
+  void EvaluateSample(const Tier& tier,
                       const Query& query,
                       Rng& rng,
                       Candidate& best) const;
-  void Consider(const ServerRef& server,
-                const Query& query,
-                Candidate& best) const;
+  void EvaluateCandidate(const ServerRef& server,
+                         const Query& query,
+                         Candidate& best) const;
   static bool CanWaitForNearServer(const Pool& pool,
                                    const PickContext& context);
   double PredictedSeconds(const Server& server,
--- a/packages/decision/src/claim_ledger.cc
+++ b/packages/decision/src/claim_ledger.cc
@@ -47,11 +47,11 @@
   return token;
 }
 
-void ClaimLedger::Settle(TimePoint now,
-                         std::string_view token,
-                         ClaimState state,
-                         std::uint16_t status,
-                         std::string_view answer) {
+void ClaimLedger::Complete(TimePoint now,
+                           std::string_view token,
+                           ClaimState state,
+                           std::uint16_t status,
+                           std::string_view answer) {
   const auto found = entries_.find(token);
   GR_INVARIANT(found != entries_.end());
   Entry& entry = found->second;
--- a/packages/decision/src/coordinator.cc
+++ b/packages/decision/src/coordinator.cc
@@ -223,7 +223,7 @@
     GR_INVARIANT(work == ExecutionState::kUnknown ||
                  !request.EffectMayHaveRun());
   }
-  SettleClaim(now, request, error, body);
+  CompleteClaim(now, request, error, body);
 
   FinishRequest finish;
   finish.request = request.id;
--- a/packages/decision/src/coordinator_answers.cc
+++ b/packages/decision/src/coordinator_answers.cc
@@ -240,7 +240,7 @@
       suspects_.IsQuarantinePending(now, request.submission.fingerprint)) {
     ++counters_.retries;
     request.phase = RequestPhase::kQueued;
-    Arm(now + kAccusedRetryInterval, TimerKind::kBackOff, request.id.value);
+    Arm(now + kHeldRetryInterval, TimerKind::kBackOff, request.id.value);
     return;
   }
   if (retry) {
--- a/packages/decision/src/coordinator_claims.cc
+++ b/packages/decision/src/coordinator_claims.cc
@@ -32,7 +32,7 @@
     // The deadline passed while the claim was in flight. No call was sent, so
     // the key is released and a resend by the caller may run.
     if (result.outcome == ClaimOutcome::kConfirmed) {
-      claims_.Settle(now, result.token, ClaimState::kNotRun, 0, {});
+      claims_.Complete(now, result.token, ClaimState::kNotRun, 0, {});
     }
     return;
   }
@@ -179,22 +179,23 @@
   }
 }
 
-void Coordinator::SettleClaim(TimePoint now,
-                              const Request& request,
-                              std::optional<ErrorKind> error,
-                              const std::string& body) {
+void Coordinator::CompleteClaim(TimePoint now,
+                                const Request& request,
+                                std::optional<ErrorKind> error,
+                                const std::string& body) {
   if (!request.claim_confirmed) {
     return;
   }
   if (!error.has_value()) {
-    claims_.Settle(now, request.claim_token, ClaimState::kAnswered, 200, body);
+    claims_.Complete(now, request.claim_token, ClaimState::kAnswered, 200,
+                     body);
     return;
   }
   if (request.EffectMayHaveRun()) {
     claims_.LeaveClaimed(request.claim_token);
     return;
   }
-  claims_.Settle(now, request.claim_token, ClaimState::kNotRun, 0, {});
+  claims_.Complete(now, request.claim_token, ClaimState::kNotRun, 0, {});
 }
 
 }  // namespace gentianroute
--- a/packages/decision/src/coordinator_stages.cc
+++ b/packages/decision/src/coordinator_stages.cc
@@ -107,7 +107,7 @@
   Request& request = found->second;
   GR_INVARIANT(request.phase == RequestPhase::kQueued);
   if (suspects_.IsQuarantinePending(now, request.submission.fingerprint)) {
-    Arm(now + kAccusedRetryInterval, TimerKind::kBackOff, id);
+    Arm(now + kHeldRetryInterval, TimerKind::kBackOff, id);
     return;
   }
   Enqueue(now, request);
--- a/packages/decision/src/fair_queue.cc
+++ b/packages/decision/src/fair_queue.cc
@@ -144,7 +144,7 @@
   if (!found.has_value()) {
     return std::nullopt;
   }
-  Waiter taken = Take(*found);
+  Waiter taken = RemoveWaiter(*found);
   ledger_.Charge(now, taken.organisation, taken.subscriber, taken.cost);
   return taken;
 }
@@ -205,11 +205,11 @@
   std::list<Waiter>& waiters = organisations_.at(who.organisation)
                                    .subscribers.at(who.subscriber)
                                    .waiters;
-  Take(std::ranges::find(waiters, request, &Waiter::request));
+  RemoveWaiter(std::ranges::find(waiters, request, &Waiter::request));
   return true;
 }
 
-FairQueue::Waiter FairQueue::Take(std::list<Waiter>::iterator waiter) {
+FairQueue::Waiter FairQueue::RemoveWaiter(std::list<Waiter>::iterator waiter) {
   Waiter taken = std::move(*waiter);
   waiting_cost_ -= taken.cost;
   const auto where = subscriber_of_request_.find(taken.request);
--- a/packages/decision/src/server_table.cc
+++ b/packages/decision/src/server_table.cc
@@ -209,7 +209,7 @@
                                        const Query& query,
                                        Rng& rng) const {
   Candidate best;
-  ConsiderPrefixHolders(query, best);
+  EvaluatePrefixHolders(query, best);
   for (std::size_t i = 0; i < kTiers; ++i) {
     const bool far = i + 1 == kTiers;
     if (far && (best.score < kCrossRegionDeadlineShare *
@@ -217,7 +217,7 @@
                 CanWaitForNearServer(pool, query.context))) {
       break;
     }
-    ConsiderSample(pool.tiers[i], query, rng, best);
+    EvaluateSample(pool.tiers[i], query, rng, best);
   }
   return best.server;
 }
@@ -231,7 +231,7 @@
              kNearWaitFactor * Seconds(rest);
 }
 
-void ServerTable::ConsiderPrefixHolders(const Query& query,
+void ServerTable::EvaluatePrefixHolders(const Query& query,
                                         Candidate& best) const {
   if (prefix_affinity_ == nullptr || query.context.prefix == 0) {
     return;
@@ -245,12 +245,12 @@
     const ServerRef& server = found->second;
     if (server->host.pool == query.context.pool &&
         server->free_index != Server::kNotFree && CanTake(*server, query)) {
-      Consider(server, query, best);
+      EvaluateCandidate(server, query, best);
     }
   }
 }
 
-void ServerTable::ConsiderSample(const Tier& tier,
+void ServerTable::EvaluateSample(const Tier& tier,
                                  const Query& query,
                                  Rng& rng,
                                  Candidate& best) const {
@@ -272,13 +272,13 @@
     }
     last = server.get();
     ++seen;
-    Consider(server, query, best);
+    EvaluateCandidate(server, query, best);
   }
 }
 
-void ServerTable::Consider(const ServerRef& server,
-                           const Query& query,
-                           Candidate& best) const {
+void ServerTable::EvaluateCandidate(const ServerRef& server,
+                                    const Query& query,
+                                    Candidate& best) const {
   const double score = PredictedSeconds(*server, query.context);
   if (score < best.score) {
     best = {server, score};
--- a/packages/decision/tests/claims_test.cc
+++ b/packages/decision/tests/claims_test.cc
@@ -49,7 +49,7 @@
   const TableTransaction late = LoseClaimWrite(bench);
   cr_assert(bench.FinishOf(id)->error == ErrorKind::kStoreUnavailable);
   bench.table.Transact(late);
-  bench.Settle();
+  bench.ProcessOperations();
   cr_assert(bench.starts.empty());
 }
 
@@ -60,7 +60,7 @@
   bench.Submit(Order());
   bench.table.Transact(LoseClaimWrite(bench));
   const RequestId resend = bench.Submit(Order());
-  bench.Settle();
+  bench.ProcessOperations();
   cr_assert_eq(bench.starts.size(), 1U);
   bench.Write(bench.starts.at(0).attempt);
   bench.Answer(bench.starts.at(0).attempt, "1");
@@ -76,7 +76,7 @@
   Bench second(Orders(), "daemon-2");
   second.table.Transact(late);
   const RequestId resend = second.Submit(Order());
-  second.Settle();
+  second.ProcessOperations();
   cr_assert_eq(second.queries.size(), 1U);
   const std::string token = second.queries.at(0).claim.token;
   first.coordinator().Join(first.now, token);
@@ -84,7 +84,7 @@
   cr_assert(first.joins.at(0).outcome.state == JoinState::kAbandoned);
   second.coordinator().OnClaimHolderAnswered(second.now, resend, token,
                                              first.joins.at(0).outcome);
-  second.Settle();
+  second.ProcessOperations();
   cr_assert_eq(second.starts.size(), 1U);
 }
 
@@ -117,18 +117,18 @@
   Claim old{"org", "key-1", "plaque", "daemon-2:1:1", "daemon-2", 1};
   bench.table.Transact({{{kRow, 0}}, {{kRow, bench.core.codec.Encode(old)}}});
   const RequestId id = bench.Submit(Order());
-  bench.Settle();
+  bench.ProcessOperations();
   Claim next{"org", "key-1", "plaque", "daemon-3:1:1", "daemon-3", 1};
   bench.table.Transact({{{kRow, bench.table.Read(kRow).version}},
                         {{kRow, bench.core.codec.Encode(next)}}});
   const JoinOutcome abandoned{JoinState::kAbandoned, std::nullopt, {}};
   bench.coordinator().OnClaimHolderAnswered(bench.now, id, old.token,
                                             abandoned);
-  bench.Settle();
+  bench.ProcessOperations();
   cr_assert_eq(bench.queries.size(), 2U);
   bench.coordinator().OnClaimHolderAnswered(bench.now, id, old.token,
                                             abandoned);
-  bench.Settle();
+  bench.ProcessOperations();
   cr_assert(bench.starts.empty());
   cr_assert_eq(bench.queries.size(), 2U);
 }
@@ -146,11 +146,11 @@
   bench.Advance(milliseconds(200));
   cr_assert(bench.FinishOf(id)->error == ErrorKind::kDeadlineBeforeStart);
   bench.core.claims.OnTransacted(bench.now, write.id, written);
-  bench.Settle();
+  bench.ProcessOperations();
   const auto row = bench.core.codec.Decode(bench.table.Read(kRow).value);
   cr_assert(row->state == ClaimState::kNotRun);
   bench.Submit(Order());
-  bench.Settle();
+  bench.ProcessOperations();
   cr_assert_eq(bench.starts.size(), 1U);
 }
 
@@ -161,16 +161,16 @@
   const RequestId first = bench.Submit(Order());
   const RequestId second = bench.Submit(Order());
   const RequestId other = bench.Submit(Order("another plaque"));
-  bench.Settle();
+  bench.ProcessOperations();
   cr_assert_eq(bench.starts.size(), 1U);
   cr_assert(bench.FinishOf(other)->error == ErrorKind::kKeyConflict);
   bench.Write(bench.starts.at(0).attempt);
   bench.Answer(bench.starts.at(0).attempt, "1");
   cr_assert(bench.FinishOf(first)->body == "1");
   cr_assert(bench.FinishOf(second)->body == "1");
-  bench.Settle();
+  bench.ProcessOperations();
   const RequestId third = bench.Submit(Order());
-  bench.Settle();
+  bench.ProcessOperations();
   cr_assert(bench.FinishOf(third)->replayed);
   cr_assert_eq(bench.starts.size(), 1U);
 }
@@ -180,12 +180,12 @@
 Test(claims, resend_after_an_unanswered_order_is_told_the_outcome_is_unknown) {
   Bench bench(Orders());
   const RequestId first = bench.Submit(Order());
-  bench.Settle();
+  bench.ProcessOperations();
   bench.Write(bench.starts.at(0).attempt);
   bench.Advance(seconds(1));
   cr_assert(bench.FinishOf(first)->error == ErrorKind::kOutcomeUnknown);
   const RequestId resend = bench.Submit(Order());
-  bench.Settle();
+  bench.ProcessOperations();
   cr_assert(bench.FinishOf(resend)->error == ErrorKind::kOutcomeUnknown);
   cr_assert_eq(bench.starts.size(), 1U);
 }
@@ -212,9 +212,9 @@
   cr_assert(bench.FinishOf(lost)->error == ErrorKind::kStoreUnavailable);
   cr_assert_not(bench.FinishOf(lost)->key_checked);
   bench.Submit(Order());
-  bench.Settle();
+  bench.ProcessOperations();
   const RequestId other = bench.Submit(Order("other"));
-  bench.Settle();
+  bench.ProcessOperations();
   cr_assert(bench.FinishOf(other)->error == ErrorKind::kKeyConflict);
   cr_assert(bench.FinishOf(other)->key_checked);
 }
--- a/packages/decision/tests/crashes_test.cc
+++ b/packages/decision/tests/crashes_test.cc
@@ -356,11 +356,11 @@
 // it.
 Test(crashes, suspect_runs_beside_others_when_its_time_presses) {
   Bench bench(Encoders(1, 1));
-  AddSingleStageService(bench, "patient", StageOf("encode"));
+  AddSingleStageService(bench, "no_timeout", StageOf("encode"));
   const RequestId suspect = bench.Submit(SubmissionOf("lookups", "suspect"));
   bench.Write(bench.starts.at(0).attempt);
   bench.List({HostOf("e2", "encode", 3)});
-  bench.Submit(SubmissionOf("patient", "long"));
+  bench.Submit(SubmissionOf("no_timeout", "long"));
   bench.Fail(bench.starts.at(0).attempt, AttemptFailure::kReset);
   bench.core.suspects.OnServerDown(bench.now, "e1");
   const RequestId newcomer = bench.Submit(SubmissionOf("lookups", "newcomer"));
--- a/packages/decision/tests/decision_fixture.h
+++ b/packages/decision/tests/decision_fixture.h
@@ -115,8 +115,8 @@
 
 /// @brief Returns a catalogue with four services. `letters` has the stages
 /// encode and generate, the latter streamed. `orders` has one stage that must
-/// not be repeated. `lookups` has one repeatable stage, and so has `thrifty`,
-/// which minimises cost.
+/// not be repeated. `lookups` has one repeatable stage, and so has
+/// `cost_lookups`, which minimises cost.
 inline CatalogueRef TestCatalogue() {
   auto catalogue = std::make_shared<Catalogue>();
   catalogue->revision = 1;
@@ -127,7 +127,7 @@
   AddService(*catalogue, "letters", {StageOf("encode"), generate});
   AddService(*catalogue, "orders", {order});
   AddService(*catalogue, "lookups", {StageOf("encode")});
-  AddService(*catalogue, "thrifty", {StageOf("encode")}, Objective::kCost);
+  AddService(*catalogue, "cost_lookups", {StageOf("encode")}, Objective::kCost);
   return catalogue;
 }
 
@@ -222,7 +222,7 @@
 
   /// @brief Exchanges operations between the ledger and the table service for
   /// as many rounds as a claim with conflicts needs to complete.
-  void Settle() {
+  void ProcessOperations() {
     constexpr int kRounds = 8;
     for (int round = 0; round < kRounds; ++round) {
       Advance(milliseconds(5));
--- a/packages/decision/tests/pool_health_test.cc
+++ b/packages/decision/tests/pool_health_test.cc
@@ -31,9 +31,10 @@
   Bench bench({HostOf("e1", "encode"), HostOf("e2", "encode")});
   bench.Submit(SubmissionOf("lookups", "first"));
   Refuse(bench, seconds(3));
-  const RequestId probe = bench.Submit(SubmissionOf("thrifty", "probe"));
+  const RequestId probe = bench.Submit(SubmissionOf("cost_lookups", "probe"));
   const std::size_t before = bench.starts.size();
-  const RequestId newcomer = bench.Submit(SubmissionOf("thrifty", "second"));
+  const RequestId newcomer =
+      bench.Submit(SubmissionOf("cost_lookups", "second"));
   cr_assert(bench.FinishOf(probe) == nullptr);
   cr_assert(bench.FinishOf(newcomer)->error == ErrorKind::kNoServer);
   cr_assert_eq(bench.starts.size(), before);
@@ -41,7 +42,7 @@
   cr_assert(bench.FinishOf(patient) == nullptr);  // objective is attainment
   bench.Write(bench.starts.back().attempt);
   bench.Answer(bench.starts.back().attempt, "1");
-  const RequestId later = bench.Submit(SubmissionOf("thrifty", "third"));
+  const RequestId later = bench.Submit(SubmissionOf("cost_lookups", "third"));
   cr_assert(bench.FinishOf(later) == nullptr);
 }
 
--- a/packages/entry/include/gentianroute/entry/peer_links.h
+++ b/packages/entry/include/gentianroute/entry/peer_links.h
@@ -52,17 +52,17 @@
 /// @brief Exchanges state with other daemons over Cap'n Proto RPC.
 ///
 /// Each gossip round contacts a fixed number of random peers, so that the load
-/// of a daemon does not grow with the number of peers. News is spread at once,
-/// in extra rounds.
+/// of a daemon does not grow with the number of peers. Changes are sent at
+/// once, in extra rounds.
 class PeerLinks {
  public:
   struct Options {
     std::string name;
     std::string address;
     std::uint16_t port = 0;
-    std::size_t fanout = 1;           ///< peers in a periodic round
-    std::size_t rumour_fanout = 2;    ///< peers in an extra round
-    std::uint32_t rumour_rounds = 1;  ///< limit of extra rounds in a period
+    std::size_t fanout = 1;              ///< peers in a periodic round
+    std::size_t extra_round_fanout = 2;  ///< peers in an extra round
+    std::uint32_t max_extra_rounds = 1;  ///< limit of extra rounds in a period
     Duration call_timeout = std::chrono::seconds(1);
     std::uint64_t seed = 1;
   };
@@ -77,10 +77,10 @@
 
   /// @brief Starts a periodic round; to be called once in each period.
   void Gossip();
-  /// @brief Starts an extra round to spread news. Does nothing once the
-  /// period's limit is reached, so that bursts of news don't add unlimited
-  /// load.
-  void SpreadRumour();
+  /// @brief Starts an extra round to spread a change at once. Does nothing once
+  /// the period's limit is reached, so that bursts of changes don't add
+  /// unlimited load.
+  void StartExtraRound();
 
   /// @brief Requests the revisions after `after`; calls OnRevisions() with
   /// them. If the peer no longer keeps all of them, requests a snapshot instead
@@ -133,7 +133,7 @@
   std::vector<PeerAddress> peers_;
   std::map<std::string, std::unique_ptr<Link>, std::less<>> links_;
   std::uint64_t round_ = 0;  ///< number of the current periodic round
-  std::uint32_t rumour_rounds_left_ = 0;
+  std::uint32_t extra_rounds_left_ = 0;
   std::unique_ptr<RpcServer> server_;
   struct Tasks;
   std::unique_ptr<Tasks> tasks_;
--- a/packages/entry/src/daemon.cc
+++ b/packages/entry/src/daemon.cc
@@ -298,7 +298,7 @@
   order_sync_.SetCatalogue(*follower_.catalogue());
   metrics_.SetCatalogue(follower_.catalogue());
   LogEvent("configuration").Field("revision", follower_.revision());
-  peer_links_->SpreadRumour();
+  peer_links_->StartExtraRound();
 }
 
 void Daemon::Apply(ConfigRevision change,
--- a/packages/entry/src/peer_links.cc
+++ b/packages/entry/src/peer_links.cc
@@ -257,15 +257,15 @@
 
 void PeerLinks::Gossip() {
   ++round_;
-  rumour_rounds_left_ = options_.rumour_rounds;
+  extra_rounds_left_ = options_.max_extra_rounds;
   DropIdleLinks();
   StartRound(options_.fanout);
 }
 
-void PeerLinks::SpreadRumour() {
-  if (rumour_rounds_left_ > 0) {
-    --rumour_rounds_left_;
-    StartRound(options_.rumour_fanout);
+void PeerLinks::StartExtraRound() {
+  if (extra_rounds_left_ > 0) {
+    --extra_rounds_left_;
+    StartRound(options_.extra_round_fanout);
   }
 }
 
--- a/packages/entry/src/peer_service.cc
+++ b/packages/entry/src/peer_service.cc
@@ -41,7 +41,7 @@
         dependencies_.leaving_server_gossip.Add({server, incarnation}) || added;
   }
   if (added) {
-    links_->SpreadRumour();
+    links_->StartExtraRound();
   }
 }
 
--- a/packages/loop/src/relay_server.cc
+++ b/packages/loop/src/relay_server.cc
@@ -48,10 +48,10 @@
 
   class Exchange final : public RelayExchange {
    public:
-    Exchange(Connection& connection, MessageHead head, TimePoint began)
+    Exchange(Connection& connection, MessageHead head, TimePoint start_time)
         : connection_(&connection) {
       head_ = std::move(head);
-      start_time_ = began;
+      start_time_ = start_time;
     }
     void Respond(int status,
                  const HttpHeaders& fields,
--- a/packages/routing/include/gentianroute/routing/prompt.h
+++ b/packages/routing/include/gentianroute/routing/prompt.h
@@ -25,8 +25,9 @@
   /// but one, since the last is unique to the request.
   /// @return null if there is no shared part
   const PromptPart* Subject() const {
-    constexpr std::size_t kFewest = 2;
-    return parts.size() < kFewest ? nullptr : &parts[parts.size() - kFewest];
+    constexpr std::size_t kMinParts = 2;
+    return parts.size() < kMinParts ? nullptr
+                                    : &parts[parts.size() - kMinParts];
   }
   /// @brief Tokens to prefill if all shared parts are cached.
   double OwnTokens() const {
--- a/packages/routing/tests/answer_watch_test.cc
+++ b/packages/routing/tests/answer_watch_test.cc
@@ -51,7 +51,7 @@
   const Duration wait =
       FirstByteOverdueAfter(route, estimate.TimeToFirstEvent(17'000));
   cr_assert_lt(wait, route.FirstByteTimeout() / 2);
-  const ServerPtr server = MakeServer("dark");
+  const ServerPtr server = MakeServer("unreachable");
   RecordOverdue(kStart + wait, kStart, *server);
   cr_assert(server->history().IsAvoided(kStart + wait));
 }
--- a/tests/random/claim_histories.cc
+++ b/tests/random/claim_histories.cc
@@ -106,7 +106,7 @@
 
   void ReleaseClaim(std::size_t index) {
     if (!holder_.empty() && holder_ledger_ == index) {
-      ledgers_.at(index)->Settle(now_, holder_, ClaimState::kNotRun, 0, {});
+      ledgers_.at(index)->Complete(now_, holder_, ClaimState::kNotRun, 0, {});
       holder_.clear();
     }
   }
