--- a/packages/decision/include/gentianroute/decision/claim_ledger.h
+++ b/packages/decision/include/gentianroute/decision/claim_ledger.h
@@ -48,7 +48,7 @@
     std::uint32_t max_reads = 2;
     Duration retry_delay = std::chrono::milliseconds(200);
     /// How long writing the outcome of a claim is retried.
-    Duration settle_timeout = std::chrono::minutes(2);
+    Duration completion_timeout = std::chrono::minutes(2);
   };
 
   ClaimLedger(Options options, const ClaimCodec& codec);
@@ -92,21 +92,21 @@
 
  private:
   enum class Phase : std::uint8_t {
-    kWaiting,   ///< not yet part of a transaction
-    kWriting,   ///< part of a transaction in flight
-    kReading,   ///< the answer was lost; the row is read back
-    kHeld,      ///< confirmed; the request may run
-    kSettling,  ///< the outcome is queued for writing or being written
+    kWaiting,     ///< not yet part of a transaction
+    kWriting,     ///< part of a transaction in flight
+    kReading,     ///< the answer was lost; the row is read back
+    kHeld,        ///< confirmed; the request may run
+    kCompleting,  ///< the outcome is queued for writing or being written
   };
   struct Entry {
     RequestId request;
     Claim claim;
     Phase phase = Phase::kWaiting;
-    std::uint64_t version = 0;    ///< row version that the next write expects
-    std::uint32_t reads = 0;      ///< unanswered reads
-    TimePoint due{};              ///< when its next operation may start
-    TimePoint settle_deadline{};  ///< end of the retries while kSettling
-    bool in_flight = false;       ///< part of an operation not yet answered
+    std::uint64_t version = 0;  ///< row version that the next write expects
+    std::uint32_t reads = 0;    ///< unanswered reads
+    TimePoint due{};            ///< when its next operation may start
+    TimePoint completion_deadline{};  ///< end of the retries while kCompleting
+    bool in_flight = false;           ///< part of an operation not yet answered
   };
 
   using Entries = std::map<std::string, Entry, std::less<>>;
--- a/packages/decision/include/gentianroute/decision/poll_schedule.h
+++ b/packages/decision/include/gentianroute/decision/poll_schedule.h
@@ -50,7 +50,7 @@
   bool is_poller_ = true;
   TimePoint read_at_{};  ///< last known read of the log by any daemon
   bool ever_read_ = false;
-  /// Earliest next poll of a daemon that is no poller.
+  /// Earliest next poll if this daemon is not one of the regular pollers.
   TimePoint next_fallback_poll_{};
 };
 
--- a/packages/decision/include/gentianroute/decision/request.h
+++ b/packages/decision/include/gentianroute/decision/request.h
@@ -78,8 +78,8 @@
 
   bool MayHaveRun() const { return calls_maybe_run > 0; }
   bool EffectMayHaveRun() const { return effects_maybe_run > 0; }
-  /// @brief Whether any earlier request with the same key is known by now. Also
-  /// true if the request has no key or its profile has no effect.
+  /// @brief Whether the search for an earlier request with the same key is
+  /// complete. Also true if it has no key or its profile has no effect.
   bool KeyChecked() const {
     const bool has_effect = profile == nullptr || profile->HasEffect();
     return submission.key.empty() || !has_effect || key_row_read;
--- a/packages/decision/src/claim_ledger.cc
+++ b/packages/decision/src/claim_ledger.cc
@@ -57,19 +57,19 @@
   Entry& entry = found->second;
   GR_INVARIANT(entry.phase == Phase::kHeld);
   GR_INVARIANT(state != ClaimState::kClaimed);
-  entry.phase = Phase::kSettling;
+  entry.phase = Phase::kCompleting;
   entry.claim.state = state;
   entry.claim.status = status;
   entry.claim.answer = answer;
   entry.due = now;
-  entry.settle_deadline = now + options_.settle_timeout;
+  entry.completion_deadline = now + options_.completion_timeout;
 }
 
 void ClaimLedger::Advance(TimePoint now) {
   for (auto entry = entries_.begin(); entry != entries_.end();) {
-    const bool expired = entry->second.phase == Phase::kSettling &&
+    const bool expired = entry->second.phase == Phase::kCompleting &&
                          !entry->second.in_flight &&
-                         now >= entry->second.settle_deadline;
+                         now >= entry->second.completion_deadline;
     // The row of an expired entry stays claimed, so a resend is told that the
     // outcome is unknown. Only this daemon knows it.
     entry = expired ? entries_.erase(entry) : std::next(entry);
@@ -150,7 +150,7 @@
     const auto entry = entries_.find(tokens[i]);
     if (result.status == TableStatus::kCommitted) {
       GR_INVARIANT(i < result.versions.size());
-      if (entry->second.phase == Phase::kSettling) {
+      if (entry->second.phase == Phase::kCompleting) {
         entries_.erase(entry);
       } else {
         Confirm(entry, result.versions[i]);
@@ -173,7 +173,7 @@
                                 Entries::iterator entry,
                                 TableStatus status) {
   Entry& claim = entry->second;
-  if (claim.phase == Phase::kSettling) {
+  if (claim.phase == Phase::kCompleting) {
     // Retried under the same condition: if the lost write took effect, the
     // conflict returns this claim's own row and OnConflict ends the retries.
     claim.due = status == TableStatus::kConditionFailed
@@ -202,9 +202,9 @@
   Entry& claim = entry->second;
   const std::optional<Claim> holder = codec_.Decode(row.value);
   const bool own_row = holder.has_value() && holder->token == claim.claim.token;
-  if (claim.phase == Phase::kSettling) {
-    const bool settled = own_row && holder->state != ClaimState::kClaimed;
-    if (settled || !own_row) {
+  if (claim.phase == Phase::kCompleting) {
+    const bool completed = own_row && holder->state != ClaimState::kClaimed;
+    if (completed || !own_row) {
       entries_.erase(entry);
       return;
     }
--- a/packages/decision/src/coordinator_dispatch.cc
+++ b/packages/decision/src/coordinator_dispatch.cc
@@ -94,8 +94,9 @@
 
 bool Coordinator::IsHeld(TimePoint now, const Request& request) const {
   // A request whose quarantine is pending waits until the crash is confirmed or
-  // ruled out. Suspects with the same fingerprint run one at a time: in parallel
-  // they could crash several servers before the first crash is noticed.
+  // ruled out. Suspects with the same fingerprint run one at a time: in
+  // parallel they could crash several servers before the first crash is
+  // noticed.
   const Fingerprint fingerprint = request.submission.fingerprint;
   return suspects_.IsQuarantinePending(now, fingerprint) ||
          (running_.contains(fingerprint) &&
--- a/packages/gateway/include/gentianroute/gateway/detail/request_limits.h
+++ b/packages/gateway/include/gentianroute/gateway/detail/request_limits.h
@@ -6,7 +6,7 @@
 
 #include "gentianroute/base/time.h"
 
-/// Constants that several sources of RequestFlow use.
+/// Constants shared by the source files of RequestFlow.
 namespace gentianroute::gateway::detail {
 
 /// Assumed time from the end of the stages to the first byte of the answer,
--- a/packages/observe/include/gentianroute/observe/log_timeline.h
+++ b/packages/observe/include/gentianroute/observe/log_timeline.h
@@ -56,7 +56,7 @@
   RequestDiagnosis Diagnose() const;
 
  private:
-  bool IsAbout(const ParsedLogLine& line) const;
+  bool BelongsToRequest(const ParsedLogLine& line) const;
   /// Whether a line of another subject may explain a step: a server that is not
   /// open, a daemon start or dropped log lines.
   static bool IsContext(const ParsedLogLine& line);
--- a/packages/observe/src/log_buffer.cc
+++ b/packages/observe/src/log_buffer.cc
@@ -12,9 +12,9 @@
   double all;      ///< for all requests
   double sampled;  ///< for sampled requests
 };
-/// By LogPriority. The end of a request is kept at higher fill levels than its
-/// steps, because it names the outcome, and failures at higher ones than
-/// successes.
+/// Indexed by LogPriority. The end of a request is kept at higher fill levels
+/// than its steps, because it names the outcome, and failures at higher ones
+/// than successes.
 constexpr std::array<FillLimits, 3> kFillLimits = {
     {{0.5, 0.8}, {0.7, 0.9}, {1.0, 1.0}}};
 /// One in this many requests is sampled.
--- a/packages/observe/src/log_timeline.cc
+++ b/packages/observe/src/log_timeline.cc
@@ -221,7 +221,7 @@
   return parsed;
 }
 
-bool LogTimeline::IsAbout(const ParsedLogLine& line) const {
+bool LogTimeline::BelongsToRequest(const ParsedLogLine& line) const {
   return line.Value("id") == request_ ||
          ListContains(line.Value("requests"), request_);
 }
@@ -236,7 +236,7 @@
   if (!parsed) {
     return;
   }
-  if (IsAbout(*parsed)) {
+  if (BelongsToRequest(*parsed)) {
     steps_.push_back(std::move(*parsed));
   } else if (IsContext(*parsed)) {
     context_lines_.push_back(std::move(*parsed));
--- a/packages/routing/include/gentianroute/routing/answer_watch.h
+++ b/packages/routing/include/gentianroute/routing/answer_watch.h
@@ -40,7 +40,7 @@
 
 /// After a pause of the daemon itself, timers are due while its sockets still
 /// hold unread data, and every server would appear silent. Pending data is read
-/// within this time before a server is judged.
+/// within this time before a server is considered silent.
 inline constexpr Duration kSocketReadGrace = std::chrono::milliseconds(50);
 
 /// @brief Records an overdue answer in the history of its server.
--- a/packages/routing/include/gentianroute/routing/pool_choice.h
+++ b/packages/routing/include/gentianroute/routing/pool_choice.h
@@ -35,8 +35,8 @@
   Duration time_left{};            ///< time until its soft deadline
 };
 
-/// @brief Estimated time until a pool finishes work that is ahead of everything
-/// already late.
+/// @brief Estimated time until a pool finishes the given work, if it runs
+/// before all work that is already late.
 Duration EstimatedPoolTime(const PoolState& pool,
                            const PoolWork& work,
                            const StageCapacity& capacity);
--- a/packages/routing/include/gentianroute/routing/server.h
+++ b/packages/routing/include/gentianroute/routing/server.h
@@ -51,7 +51,7 @@
 /// @brief Recent behaviour of a server as observed by this daemon.
 ///
 /// A server can fail a share of its requests or slow down while its health
-/// check passes, so only its answers are judged. Old observations decay, so
+/// check passes, so only its answers are evaluated. Old observations decay, so
 /// that a recovered server is tried again.
 class ServerHistory {
  public:
--- a/packages/routing/include/gentianroute/routing/service_time_estimate.h
+++ b/packages/routing/include/gentianroute/routing/service_time_estimate.h
@@ -30,7 +30,7 @@
   Duration TimeToFirstEvent(double prefill_tokens) const {
     return ServiceTime() + PrefillTime(prefill_tokens);
   }
-  /// @brief Time that a model server takes to prefill so many tokens.
+  /// @brief Time that a model server takes to prefill `tokens` tokens.
   Duration PrefillTime(double tokens) const {
     return FromMilliseconds(tokens * prefill_token_ms_);
   }
--- a/packages/routing/include/gentianroute/routing/stage_pool.h
+++ b/packages/routing/include/gentianroute/routing/stage_pool.h
@@ -31,7 +31,7 @@
   std::string work_class;  ///< pieces with equal text take about the same time
   TimePoint soft_deadline{};   ///< the group is on time until then
   TimePoint deadline{};        ///< results are useless after this
-  std::uint32_t priority = 0;  ///< 0 is the most valuable
+  std::uint32_t priority = 0;  ///< 0 is the most urgent
   double weight = 1;           ///< relative to the other requests of its route
   double result_bytes = 0;     ///< estimated size of one result
 };
--- a/packages/routing/src/stage_pool.cc
+++ b/packages/routing/src/stage_pool.cc
@@ -7,10 +7,10 @@
 namespace gentianroute::routing {
 namespace {
 
-/// Value of a request relative to one of the next lower priority. Operators
-/// only give an order. A factor favours the more urgent request where all else
-/// is equal, and still lets small work go ahead of large work that is hardly
-/// more urgent.
+/// Value of a request relative to one of the next lower priority. Priorities
+/// only define an order. With a factor between them, the more urgent of two
+/// similar requests runs first, and small work can still precede large work
+/// that is slightly more urgent.
 constexpr double kPriorityValueRatio = 3.0;
 /// A server with a slowness above this is skipped while another one accepts
 /// work. Its history decays within seconds, after which it is tried again.
--- a/packages/routing/tests/server_choice_test.cc
+++ b/packages/routing/tests/server_choice_test.cc
@@ -106,8 +106,8 @@
   cr_assert_eq(homes.size(), fixture.servers.size());
 }
 
-// The prompts queued at the home of a popular subject take longer to prefill
-// than the subject takes at another server.
+// Waiting for the prompts queued at the home server of a popular subject takes
+// longer than prefilling the subject at another server, where it isn't cached.
 Test(server_choice, hot_subject_is_split_once_its_home_has_a_queue) {
   const ModelFixture fixture;
   const Prompt prompt = PromptAbout("hot", "r0");
