--- a/packages/routing/include/gentianroute/routing/service_time_estimate.h
+++ b/packages/routing/include/gentianroute/routing/service_time_estimate.h
@@ -36,7 +36,7 @@
   }
   /// @brief Time from the first to the last event of a generation.
   Duration StreamTime() const { return FromMilliseconds(stream_ms_); }
-  /// @brief Time that a model server takes to decode so many tokens.
+  /// @brief Time that a model server takes to decode `tokens` tokens.
   Duration DecodeTime(double tokens) const {
     return FromMilliseconds(tokens * decode_token_ms_);
   }
