--- a/packages/routing/include/gentianroute/routing/service_time_estimate.h
+++ b/packages/routing/include/gentianroute/routing/service_time_estimate.h
@@ -30,13 +30,13 @@
   Duration TimeToFirstEvent(double prefill_tokens) const {
     return ServiceTime() + PrefillTime(prefill_tokens);
   }
-  /// @brief Time that a model server takes to prefill so many tokens.
+  /// @brief Time that a model server takes to prefill `tokens` tokens.
   Duration PrefillTime(double tokens) const {
     return FromMilliseconds(tokens * prefill_token_ms_);
   }
   /// @brief Time from the first to the last event of a generation.
   Duration StreamTime() const { return FromMilliseconds(stream_ms_); }
-  /// @brief Time that a model server takes to decode so many tokens.
+  /// @brief Time that a model server takes to decode `tokens` tokens.
   Duration DecodeTime(double tokens) const {
     return FromMilliseconds(tokens * decode_token_ms_);
   }
--- a/tests/demo/example_deployment.cc
+++ b/tests/demo/example_deployment.cc
@@ -64,8 +64,8 @@
 void ExampleDeployment::StartPlatform(std::uint16_t port) {
   platform_port_ = port;
   platform_ = std::make_unique<Process>(
-      std::vector<std::string>{Binary("standins/standin"), "platform", "--port",
-                               std::to_string(port)},
+      std::vector<std::string>{BinaryPath("standins/standin"), "platform",
+                               "--port", std::to_string(port)},
       LogPath("platform"));
   platform_->ReadPort();
 }
@@ -78,13 +78,13 @@
     }
     const std::string name = host.at("name");
     backends_.push_back(std::make_unique<Process>(
-        std::vector<std::string>{Binary("standins/standin"), "backend",
+        std::vector<std::string>{BinaryPath("standins/standin"), "backend",
                                  "--name", name, "--tokens",
                                  std::to_string(tokens_)},
         LogPath(name)));
     host["port"] = backends_.back()->ReadPort();
   }
-  Http(platform_port_, "PUT", "/control/hosts", hosts.dump());
+  CallHttp(platform_port_, "PUT", "/control/hosts", hosts.dump());
   std::ofstream(logs_ / "hosts.json") << hosts.dump(2) << "\n";
   std::printf("started %zu backend servers and the platform's stand-in\n",
               backends_.size());
@@ -104,15 +104,15 @@
     entry_host.callers_port = settings.at("callers").at("port");
     entry_host.operators_port = settings.at("operators").at("port");
     entry_host.process = std::make_unique<Process>(
-        std::vector<std::string>{Binary("apps/gentianroute"), "--settings",
+        std::vector<std::string>{BinaryPath("apps/gentianroute"), "--settings",
                                  file.string()},
         LogPath(entry_host.name));
     entry_hosts_.push_back(std::move(entry_host));
   }
   for (const EntryHost& entry_host : entry_hosts_) {
     const bool healthy = Eventually(kStartTimeoutSeconds, [&entry_host] {
-      return Http(entry_host.operators_port, "GET", "/healthz", "").status ==
-             200;
+      return CallHttp(entry_host.operators_port, "GET", "/healthz", "")
+                 .status == 200;
     });
     if (!healthy) {
       throw std::runtime_error(entry_host.name + " did not start; see " +
@@ -123,7 +123,7 @@
 }
 
 void ExampleDeployment::Apply() {
-  Process apply({Binary("apps/gentianctl"), "--port",
+  Process apply({BinaryPath("apps/gentianctl"), "--port",
                  std::to_string(entry_hosts_.front().operators_port), "apply",
                  "--wait", std::to_string(kStartTimeoutSeconds), "--author",
                  "demo", (folder_ / "profiles.json").string()},
@@ -138,7 +138,7 @@
               text.substr(std::min(summary, text.size())).c_str());
   for (const EntryHost& entry_host : entry_hosts_) {
     Eventually(kStartTimeoutSeconds, [&entry_host] {
-      return Http(entry_host.operators_port, "GET", "/readyz", "").status ==
+      return CallHttp(entry_host.operators_port, "GET", "/readyz", "").status ==
              200;
     });
   }
--- a/tests/demo/main.cc
+++ b/tests/demo/main.cc
@@ -14,15 +14,15 @@
 
 namespace {
 
-using gentianroute::testing::Answer;
-using gentianroute::testing::Binary;
+using gentianroute::testing::BinaryPath;
+using gentianroute::testing::CallHttp;
+using gentianroute::testing::ClientResponse;
 using gentianroute::testing::EntryHost;
 using gentianroute::testing::ExampleDeployment;
-using gentianroute::testing::Http;
 using gentianroute::testing::Process;
 using nlohmann::json;
 
-void PrintHeader(const Answer& answer, const std::string& name) {
+void PrintHeader(const ClientResponse& answer, const std::string& name) {
   const std::size_t at = answer.headers.find("\r\n" + name + ": ");
   if (at == std::string::npos) {
     return;
@@ -41,9 +41,9 @@
     headers.push_back("idempotency-key: " +
                       request.at("key").get<std::string>());
   }
-  const Answer answer =
-      Http(entry_host.callers_port, "POST", "/v1/services/" + service,
-           request.at("body").dump(), headers);
+  const ClientResponse answer =
+      CallHttp(entry_host.callers_port, "POST", "/v1/services/" + service,
+               request.at("body").dump(), headers);
   std::printf("\nPOST %s at %s (%s): %d\n", service.c_str(),
               entry_host.name.c_str(), entry_host.data_centre.c_str(),
               answer.status);
@@ -67,7 +67,7 @@
 void PrintReport(const ExampleDeployment& deployment) {
   constexpr int kReportTimeoutSeconds = 20;
   std::vector<std::string> command = {
-      Binary("apps/gentianctl"), "--port",
+      BinaryPath("apps/gentianctl"), "--port",
       std::to_string(deployment.entry_hosts().front().operators_port),
       "report"};
   for (const EntryHost& entry_host : deployment.entry_hosts()) {
--- a/tests/demo/measure.cc
+++ b/tests/demo/measure.cc
@@ -17,7 +17,7 @@
 
 namespace {
 
-using gentianroute::testing::Binary;
+using gentianroute::testing::BinaryPath;
 using gentianroute::testing::EntryHost;
 using gentianroute::testing::ExampleDeployment;
 using gentianroute::testing::Process;
@@ -67,7 +67,7 @@
 /// Runs the load generator against all daemons.
 /// @return its JSON output
 json RunLoad(const ExampleDeployment& deployment, double rate, int seconds) {
-  std::vector<std::string> command = {Binary("loadtool/load"),
+  std::vector<std::string> command = {BinaryPath("loadtool/load"),
                                       "--output",
                                       "json",
                                       "--rate",
--- a/tests/soak/fault_proxy.h
+++ b/tests/soak/fault_proxy.h
@@ -11,18 +11,18 @@
 
 namespace gentianroute::soak {
 
-/// @brief A link on loopback that can be harmed.
+/// @brief TCP proxy on loopback that can impair the link to its upstream.
 class FaultProxy {
  public:
   enum class Mode : std::uint8_t {
     kPass,
-    kDelayed,    ///< bytes arrive `delay` later, both ways
-    kSilent,     ///< bytes wait, both ways, until the mode ends
-    kOneWayCut,  ///< what the far end says waits; it hears all
+    kDelayed,    ///< data arrives `delay` later, both ways
+    kSilent,     ///< data is held back, both ways, until the mode ends
+    kOneWayCut,  ///< only the upstream's data is held back
     kRefusing,   ///< each connection is closed at once
   };
 
-  FaultProxy(EventLoop& loop, std::uint16_t far_port);
+  FaultProxy(EventLoop& loop, std::uint16_t upstream_port);
   ~FaultProxy();
 
   std::uint16_t port() const { return listener_->port(); }
@@ -30,21 +30,21 @@
   void SetMode(Mode mode, Duration delay = Duration{0});
   /// @brief Closes all connections.
   void Reset();
-  /// @brief Connections that are open now pass nothing any more, for good; new
-  /// ones work.
-  void SilenceOpenOnes();
-  bool harmed() const { return mode_ != Mode::kPass; }
+  /// @brief Permanently stops forwarding on the connections that are open now;
+  /// new ones work.
+  void SilenceOpenConnections();
+  bool impaired() const { return mode_ != Mode::kPass; }
 
  private:
-  class Pair;
+  class Connection;
 
   void Sweep();
 
   EventLoop& loop_;
-  std::uint16_t far_port_;
+  std::uint16_t upstream_port_;
   Mode mode_ = Mode::kPass;
   Duration delay_{0};
-  std::list<std::unique_ptr<Pair>> pairs_;
+  std::list<std::unique_ptr<Connection>> connections_;
   std::unique_ptr<EventLoop::Listener> listener_;
   TimerId sweep_timer_;
 };
--- a/tests/soak/soak_callers.h
+++ b/tests/soak/soak_callers.h
@@ -9,31 +9,31 @@
 #include <vector>
 
 #include "gentianroute/loop/relay_client.h"
-#include "promises.h"
+#include "invariant_checker.h"
 #include "soak_daemon.h"
 
 namespace gentianroute::soak {
 
-/// @brief What operators have in force, as callers need to know it.
+/// @brief State of the stored configuration that callers need to know.
 struct OperatorState {
-  std::uint64_t version = 1;  ///< newest configuration that is stored
+  std::uint64_t version = 1;  ///< of the newest stored configuration
 };
-/// Versions from here on each bring a route and a key of their own.
+/// Each version from this one on adds a route and a key of its own.
 inline constexpr std::uint64_t kFirstVersion = 1;
-/// @brief Key of the organisation whose keys change, brought by a version.
+/// @brief Key that a version adds to the organisation whose keys change.
 std::string ChangingKey(std::uint64_t version);
-/// @brief The version that takes that key away.
-constexpr std::uint64_t GoneAt(std::uint64_t version) {
+/// @brief Version that removes the key that `version` added.
+constexpr std::uint64_t RemovalVersion(std::uint64_t version) {
   return version + 2;
 }
 
-/// @brief Callers that send one request after the other over kept connections.
+/// @brief Callers that each send one request at a time over reused connections.
 class SoakCallers {
  public:
   using Daemons = std::vector<std::unique_ptr<SoakDaemon>>;
 
   SoakCallers(EventLoop& loop,
-              Promises& promises,
+              InvariantChecker& checker,
               std::mt19937_64& random,
               const Daemons& daemons,
               const OperatorState& state);
@@ -41,29 +41,29 @@
 
   void Start(std::size_t callers);
 
-  /// @brief Sends no more; what is open goes on.
+  /// @brief Sends no further requests; open calls continue.
   void Stop() { stopped_ = true; }
   std::size_t open() const;
-  /// @brief Asks one daemon once for one plain answer.
-  void AskOnce(SoakDaemon& daemon, std::function<void(bool served)> done);
+  /// @brief Sends one idempotent request to a daemon, for the newest route.
+  void SendOnce(SoakDaemon& daemon, std::function<void(bool served)> done);
 
  private:
   class Caller;
-  struct Plan;
+  struct PlannedCall;
 
-  struct Drawn;
+  struct DrawnRequest;
 
-  Drawn Draw();
-  Drawn DrawProbe();
-  Asked DrawShape();
-  static Drawn AskForRoute(std::uint64_t version);
-  Plan PlanFor(const SoakDaemon& daemon, Drawn drawn);
-  std::string TextOf(const std::string& id,
-                     const Asked& asked,
-                     const std::string& key) const;
+  DrawnRequest Draw();
+  DrawnRequest DrawProbe();
+  SentRequest DrawRegularRequest();
+  static DrawnRequest RequestForRoute(std::uint64_t version);
+  PlannedCall PlanCall(const SoakDaemon& daemon, DrawnRequest drawn);
+  std::string RequestText(const std::string& id,
+                          const SentRequest& request,
+                          const std::string& key) const;
 
   EventLoop& loop_;
-  Promises& promises_;
+  InvariantChecker& checker_;
   std::mt19937_64& random_;
   const Daemons& daemons_;
   const OperatorState& state_;
--- a/tests/soak/soak_daemon.h
+++ b/tests/soak/soak_daemon.h
@@ -6,16 +6,16 @@
 #include <string>
 
 #include "fault_proxy.h"
+#include "invariant_checker.h"
 #include "process.h"
-#include "promises.h"
 
 namespace gentianroute::soak {
 
-/// @brief One daemon as a process, with a link of its own to the store.
+/// @brief A daemon process with its own proxied link to the store.
 class SoakDaemon {
  public:
   SoakDaemon(EventLoop& loop,
-             Promises& promises,
+             InvariantChecker& checker,
              std::size_t index,
              std::string data_centre,
              std::uint16_t store_port,
@@ -24,37 +24,38 @@
 
   void Start();
   void Kill();
-  /// @brief A planned stop; it starts again once it has ended.
+  /// @brief Starts a planned stop; the daemon is restarted once it has ended.
   void Stop();
   void Pause(Duration time);
-  void HangUp();
+  void ReloadSettings();
 
-  /// @brief Notes an end that was asked for, and starts it again; any other
-  /// end breaks a promise.
-  void Look();
-  /// @brief Whether it takes requests, as far as its signals tell.
+  /// @brief Restarts the daemon if its process has ended; an end that was not
+  /// requested, or a planned stop that fails, is a violation.
+  void CheckProcess();
+  /// @brief Whether it should accept requests, judged by the signals sent to
+  /// it.
   bool serves() const { return state_ == State::kUp; }
   std::size_t index() const { return index_; }
   std::uint64_t start() const { return start_; }
-  std::uint16_t callers_port() const { return callers_; }
+  std::uint16_t frontend_port() const { return frontend_port_; }
   FaultProxy& store_link() { return store_link_; }
 
  private:
   enum class State : std::uint8_t { kUp, kPaused, kStopping, kDown };
 
   void WriteSettings(const std::string& path) const;
-  void StartLater();
+  void ScheduleStart();
 
   EventLoop& loop_;
-  Promises& promises_;
+  InvariantChecker& checker_;
   std::size_t index_;
   std::string data_centre_;
   std::string folder_;
   FaultProxy store_link_;
-  std::uint16_t callers_;
-  std::uint16_t readiness_;
-  std::uint16_t peers_;
-  std::uint16_t metrics_;
+  std::uint16_t frontend_port_;
+  std::uint16_t readiness_port_;
+  std::uint16_t peer_port_;
+  std::uint16_t metrics_port_;
   State state_ = State::kDown;
   std::uint64_t start_ = 0;
   TimePoint started_{};
