--- a/packages/decision/tests/pool_health_test.cc
+++ b/packages/decision/tests/pool_health_test.cc
@@ -46,8 +46,8 @@
   cr_assert(bench.FinishOf(later) == nullptr);
 }
 
-// A restart takes down all servers of a pool for a second. New requests must
-// wait for the pool like earlier ones.
+// A rolling restart takes down all servers of a pool for a second. New requests
+// must wait for the pool like earlier ones.
 Test(pool_health, requests_wait_for_pool_that_is_down_for_a_second) {
   Bench bench({HostOf("e1", "encode"), HostOf("e2", "encode")});
   bench.Submit(SubmissionOf("lookups", "first"));
--- a/packages/schema/schema/platform.capnp
+++ b/packages/schema/schema/platform.capnp
@@ -60,5 +60,5 @@
 struct LeaseRow {
   pool @0 :Text;
   holder @1 :Text;
-  fencing @2 :UInt64;                 # fencing number; grows with every holder
+  fencing @2 :UInt64;                 # fencing token; grows with every holder
 }
--- a/packages/schema/tests/lease_test.cc
+++ b/packages/schema/tests/lease_test.cc
@@ -103,7 +103,7 @@
 
 // When the answer to an acquisition is lost, the daemon does not know whether
 // it holds the lease. It must send nothing until it has acquired the lease
-// again with a new fencing number.
+// again with a new fencing token.
 Test(lease, unanswered_acquisition_sends_nothing_until_acquired_again) {
   Fixture fixture;
   cr_assert(fixture.first.Advance(At(0), true) == Step::kRead);
@@ -128,7 +128,7 @@
 
 // The desired state changes while an order has no answer yet. A second order
 // sent immediately could overtake the first, which would then undo it on an
-// engine that ignores fencing numbers.
+// engine that ignores fencing tokens.
 Test(order_issuer, order_in_flight_delays_the_next) {
   Fixture fixture;
   fixture.AdvanceUntilIdle(fixture.first, At(0));
--- a/standins/backend.h
+++ b/standins/backend.h
@@ -24,8 +24,7 @@
     std::uint32_t service_ms = 5;  ///< duration of a call of /v1/run
     std::uint32_t token_ms = 2;    ///< between tokens of /v1/generate
     std::uint32_t tokens = 16;     ///< generated per response
-    bool checks_fencing =
-        false;  ///< rejects orders with a stale fencing number
+    bool checks_fencing = false;  ///< rejects orders with a stale fencing token
     std::uint32_t prefill_ms =
         0;  ///< before the first token of an uncached prompt
     std::uint32_t cache_entries = 64;  ///< prompt prefixes that the cache holds
--- a/tests/random/order_simulation.cc
+++ b/tests/random/order_simulation.cc
@@ -268,7 +268,7 @@
 }
 
 /// Resets the state of an engine, as after a crash of its worker. The engine
-/// remembers the highest fencing number.
+/// remembers the highest fencing token.
 void OrderSimulation::ResetEngineState() {
   simulator_.After(simulator_.Between(100, 1000),
                    [this] { ResetEngineState(); });
--- a/tests/random/order_simulation.h
+++ b/tests/random/order_simulation.h
@@ -9,12 +9,12 @@
 struct OrderCounts {
   std::uint64_t events = 0;
   std::uint64_t orders = 0;
-  std::uint64_t refused = 0;  ///< by engines that check the fencing number
+  std::uint64_t refused = 0;  ///< by engines that check the fencing token
   std::uint64_t terms = 0;    ///< lease terms, one per holder
 };
 
 /// @brief Simulates issuers of engine orders that compete for a lease, with
-/// engines that check the fencing number and with engines that ignore it.
+/// engines that check the fencing token and with engines that ignore it.
 OrderCounts RunOrderSimulation(std::uint64_t seed, std::uint64_t events);
 
 }  // namespace gentianroute::random_config
